--- a/packages/register/src/dykeswitch/register/__init__.py
+++ b/packages/register/src/dykeswitch/register/__init__.py
@@ -13,14 +13,14 @@
 
 # A proposer's try: a counter, then the proposer's own id to part equals.
 Ballot = tuple[int, str]
-ZERO: typing.Final[Ballot] = (0, "")
+ZERO_BALLOT: typing.Final[Ballot] = (0, "")
 
 # The register's own key for the member set; it is moved by other rules than the rest.
-MEMBERS: typing.Final = "@members"
-OPS_KEPT: typing.Final = 24
+MEMBERS_KEY: typing.Final = "@members"
+MAX_OPS: typing.Final = 24
 # The most that a key's user may have remembered beside its body, in bytes.
-MEMORY_MOST: typing.Final = 32768
-COUNT_MOST: typing.Final = 2**53
+MAX_MEMORY_BYTES: typing.Final = 32768
+MAX_COUNT: typing.Final = 2**53
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,51 +34,51 @@
     # What the key's user remembers of earlier changes; changed in one step with the body.
     memory: bytes = b""
 
-    def wire(self) -> list[typing.Any]:
-        wire: list[typing.Any] = [self.version, self.body, [list(op) for op in self.ops]]
+    def to_wire(self) -> list[typing.Any]:
+        fields: list[typing.Any] = [self.version, self.body, [list(op) for op in self.ops]]
         # Left out where there is none: such values look as they did before there was a memory.
-        return [*wire, self.memory] if self.memory else wire
+        return [*fields, self.memory] if self.memory else fields
 
-    def made(self, op: str) -> int | None:
+    def version_of(self, op: str) -> int | None:
         """The version that a change made, if this value still remembers it."""
         for name, version in self.ops:
             if name == op:
                 return version
         return None
 
-    def next(self, body: bytes, op: str, memory: bytes | None = None) -> "Value":
+    def successor(self, body: bytes, op: str, memory: bytes | None = None) -> "Value":
         """The value after one more change; its memory is kept unless another is given."""
         version = self.version + 1
-        ops = (*self.ops, (op, version))[-OPS_KEPT:]
+        ops = (*self.ops, (op, version))[-MAX_OPS:]
         return Value(version, body, ops, self.memory if memory is None else memory)
 
 
-BLANK: typing.Final = Value(0, b"")
+INITIAL_VALUE: typing.Final = Value(0, b"")
 
 
-def value_of(raw: typing.Any) -> Value:
+def decode_value(raw: typing.Any) -> Value:
     """A value off the wire."""
     version, body, ops, *more = raw
-    if not whole(version) or not isinstance(body, bytes) or len(ops) > OPS_KEPT:
+    if not is_count(version) or not isinstance(body, bytes) or len(ops) > MAX_OPS:
         raise ValueError("not a value")
-    if len(more) > 1 or any(not isinstance(part, bytes) or len(part) > MEMORY_MOST for part in more):
+    if len(more) > 1 or any(not isinstance(part, bytes) or len(part) > MAX_MEMORY_BYTES for part in more):
         raise ValueError("not a value")
-    if any(not isinstance(name, str) or not whole(made) for name, made in ops):
+    if any(not isinstance(name, str) or not is_count(made) for name, made in ops):
         raise ValueError("not a value")
     return Value(version, body, tuple((name, made) for name, made in ops), *more)
 
 
-def ballot_of(raw: typing.Any) -> Ballot:
+def decode_ballot(raw: typing.Any) -> Ballot:
     """A ballot off the wire."""
     count, name = raw
-    if not whole(count) or not isinstance(name, str):
+    if not is_count(count) or not isinstance(name, str):
         raise ValueError("not a ballot")
     return (count, name)
 
 
-def whole(raw: object) -> bool:
+def is_count(raw: object) -> bool:
     """Whether something is a count that the system could have come to."""
-    return isinstance(raw, int) and not isinstance(raw, bool) and 0 <= raw < COUNT_MOST
+    return isinstance(raw, int) and not isinstance(raw, bool) and 0 <= raw < MAX_COUNT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -89,25 +89,25 @@
     # Each group maps a disk's id to the address its store was last known at.
     groups: tuple[tuple[tuple[str, str], ...], ...]
 
-    def wire(self) -> list[typing.Any]:
+    def to_wire(self) -> list[typing.Any]:
         return [self.epoch, [[list(pair) for pair in group] for group in self.groups]]
 
     def disks(self) -> dict[str, ports.Address]:
         """Each disk with a vote, and the address that the set tells of its store."""
         return {disk: ports.address_of(told) for group in self.groups for disk, told in group}
 
-    def joint(self) -> bool:
+    def is_joint(self) -> bool:
         return len(self.groups) > 1
 
 
-NOBODY: typing.Final = MemberSet(0, ())
+EMPTY_MEMBER_SET: typing.Final = MemberSet(0, ())
 
 
-def set_of(raw: typing.Any) -> MemberSet:
+def decode_member_set(raw: typing.Any) -> MemberSet:
     """A member set off the wire."""
     epoch, groups = raw
     # A set without a voter, or one whose epoch nobody could ever pass, would end the register.
-    if not whole(epoch) or (epoch and not (1 <= len(groups) <= 2 and all(groups))):
+    if not is_count(epoch) or (epoch and not (1 <= len(groups) <= 2 and all(groups))):
         raise ValueError("not a member set")
     for group in groups:
         if any(
@@ -122,16 +122,16 @@
     return sum(1 for disk, _ in group if disk in yes) * 2 > len(group)
 
 
-def carried(groups: typing.Iterable[tuple[tuple[str, str], ...]], yes: typing.Collection[str]) -> bool:
+def has_majorities(groups: typing.Iterable[tuple[tuple[str, str], ...]], yes: typing.Collection[str]) -> bool:
     """Whether every group has its majority."""
     return all(majority(group, yes) for group in groups)
 
 
-def decode_set(value: Value) -> MemberSet:
+def member_set_from_body(value: Value) -> MemberSet:
     """The member set out of the register's own key."""
-    return set_of(cbor2.loads(value.body)) if value.body else NOBODY
+    return decode_member_set(cbor2.loads(value.body)) if value.body else EMPTY_MEMBER_SET
 
 
-def encode_set(members: MemberSet) -> bytes:
+def member_set_to_body(members: MemberSet) -> bytes:
     """A member set as the body of the register's own key."""
-    return cbor2.dumps(members.wire())
+    return cbor2.dumps(members.to_wire())
--- a/packages/register/src/dykeswitch/register/copies.py
+++ b/packages/register/src/dykeswitch/register/copies.py
@@ -40,8 +40,8 @@
     async def look(self, key: str) -> Look | quorums.Answers[messages.ReadReply]:
         """The copies of a majority, or the answers that are too few."""
         members, have = self._quorum.members, self._held.get(key)
-        answers = await self._quorum.ask_all(members.groups, self._read_of(key, have), messages.ReadReply)
-        if not answers.carried():
+        answers = await self._quorum.call_all(members.groups, self._read_of(key, have), messages.ReadReply)
+        if not answers.has_majorities():
             return answers
         newest = max(copy.ballot for copy in answers.yes.values())
         value = self._value_of(key, newest, answers.yes, have)
@@ -61,21 +61,21 @@
             return quorums.Answers(look.members.groups, {}, [])
         groups = self._quorum.groups_for(look.key, look.value)
         accept = messages.Accept(look.key, look.ballot, look.value, look.members.epoch, quorums.ANY_DISK)
-        return await self._quorum.ask_others(groups, accept, messages.Accepted, answered)
+        return await self._quorum.call_others(groups, accept, messages.Accepted, answered)
 
     async def keys(self) -> list[str] | None:
         """Every key ever accepted, or nothing when too few stores answer to be sure."""
         members = self._quorum.members
-        ask = messages.Keys(members.epoch, quorums.ANY_DISK)
-        answers = await self._quorum.ask_all(members.groups, ask, messages.KeysReply)
-        if not answers.carried():
+        request = messages.Keys(members.epoch, quorums.ANY_DISK)
+        answers = await self._quorum.call_all(members.groups, request, messages.KeysReply)
+        if not answers.has_majorities():
             return None
         return sorted({key for reply in answers.yes.values() for key in reply.keys})
 
     async def everyone(self, key: str) -> dict[str, messages.ReadReply]:
         """Each reachable disk's copy of a key, waiting for all rather than a majority."""
-        ask = self._read_of(key, self._held.get(key))
-        return await self._quorum.ask_each(ask, messages.ReadReply)
+        request = self._read_of(key, self._held.get(key))
+        return await self._quorum.call_each(request, messages.ReadReply)
 
     async def versions(self) -> dict[str, dict[str, int]]:
         """For each disk that answers, which version of each key it holds."""
@@ -91,7 +91,7 @@
         """The newest copy of a key and the disks that hold an older one; nothing where all are alike."""
         members, have = self._quorum.members, self._held.get(key)
         copies = await self.everyone(key)
-        newest = max((copy.ballot for copy in copies.values()), default=register.ZERO)
+        newest = max((copy.ballot for copy in copies.values()), default=register.ZERO_BALLOT)
         older = tuple(disk for disk, copy in copies.items() if copy.ballot != newest)
         if not older:
             return None
@@ -105,11 +105,13 @@
         accept = messages.Accept(look.key, look.ballot, look.value, look.members.epoch, quorums.ANY_DISK)
         results = await asyncio.gather(
             *(
-                self._quorum.ask(disk, self._quorum.address(disk, addresses[disk]), accept, messages.Accepted)
+                self._quorum.call(
+                    disk, self._quorum.address(disk, addresses[disk]), accept, messages.Accepted
+                )
                 for disk in disks
             )
         )
-        return all(isinstance(result, outcome.Good) for result in results)
+        return all(isinstance(result, outcome.Success) for result in results)
 
     def _read_of(self, key: str, have: tuple[register.Ballot, register.Value] | None) -> messages.Read:
         ballot = None if have is None else have[0]
@@ -126,6 +128,6 @@
         if have is not None and have[0] == ballot:
             return have[1]
         told = (copy.value for copy in copies.values() if copy.ballot == ballot)
-        value = next((value for value in told if value is not None), register.BLANK)
+        value = next((value for value in told if value is not None), register.INITIAL_VALUE)
         self.hold(key, ballot, value)
         return value
--- a/packages/register/src/dykeswitch/register/messages.py
+++ b/packages/register/src/dykeswitch/register/messages.py
@@ -46,7 +46,7 @@
 
 
 def _read_count(raw: object) -> int:
-    if not register.whole(raw):
+    if not register.is_count(raw):
         raise ValueError("not a count")
     return typing.cast(int, raw)
 
@@ -65,9 +65,9 @@
 KEYS: typing.Final = Codec(list, _read_keys)
 COUNT: typing.Final = Codec(_as_is, _read_count)
 DISK: typing.Final = Codec(_as_is, _read_disk)
-BALLOT: typing.Final = Codec(list, register.ballot_of)
-VALUE: typing.Final = Codec(register.Value.wire, register.value_of)
-MEMBER_SET: typing.Final = Codec(register.MemberSet.wire, register.set_of)
+BALLOT: typing.Final = Codec(list, register.decode_ballot)
+VALUE: typing.Final = Codec(register.Value.to_wire, register.decode_value)
+MEMBER_SET: typing.Final = Codec(register.MemberSet.to_wire, register.decode_member_set)
 
 
 def _field(codec: Codec, name: str = "") -> typing.Any:
--- a/packages/register/src/dykeswitch/register/placement.py
+++ b/packages/register/src/dykeswitch/register/placement.py
@@ -51,7 +51,7 @@
     )
 
 
-def borne(voters: typing.Collection[str], sites: Sites, tolerance: Tolerance) -> bool:
+def is_survivable(voters: typing.Collection[str], sites: Sites, tolerance: Tolerance) -> bool:
     """Whether every loss that must be borne leaves a majority of the voters."""
     return 2 * worst_loss(voters, sites, tolerance) < len(voters)
 
@@ -69,7 +69,7 @@
     least = max(2 * tolerance.machines + 1, len(voters))
     for size in range(least, len(candidates) + 1):
         found = _spread(candidates, size, voters, sites, tolerance)
-        if borne(found, sites, tolerance):
+        if is_survivable(found, sites, tolerance):
             return found
     return _spread(candidates, min(least, len(candidates)), voters, sites, tolerance)
 
@@ -87,7 +87,7 @@
     are voters that are lost, leave, or should have no vote, the most urgent first.
     """
     staying = [disk for disk in voters if disk not in departing]
-    if not spares or (not departing and borne(voters, sites, tolerance)):
+    if not spares or (not departing and is_survivable(voters, sites, tolerance)):
         return None
     target = choose([*staying, *spares], voters, sites, tolerance)
     coming = sorted(target - set(voters))
@@ -104,16 +104,16 @@
     return swap if better else None
 
 
-def bearable(
+def survivable_losses(
     groups: typing.Iterable[Group],
     answering: typing.Collection[str],
     by: typing.Callable[[list[str]], typing.Mapping[str, int]],
 ) -> int:
     """How many domains, as `by` counts their votes, may be lost; -1 without a majority now."""
-    return min((_bearable(group, answering, by) for group in groups), default=-1)
+    return min((_survivable_losses(group, answering, by) for group in groups), default=-1)
 
 
-def _bearable(
+def _survivable_losses(
     group: Group,
     answering: typing.Collection[str],
     by: typing.Callable[[list[str]], typing.Mapping[str, int]],
--- a/packages/register/src/dykeswitch/register/proposer.py
+++ b/packages/register/src/dykeswitch/register/proposer.py
@@ -33,8 +33,8 @@
 RETRY_MOST: typing.Final = 0.5
 RETRY_DOUBLINGS: typing.Final = 4
 
-Read = outcome.Good[register.Value] | outcome.Bad
-Step = typing.Callable[[register.Value], register.Value | outcome.Bad]
+Read = outcome.Success[register.Value] | outcome.Failure
+Step = typing.Callable[[register.Value], register.Value | outcome.Failure]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
     # The end of the change, if this ballot decided it.
     decided: Read | None = None
-    why: outcome.Bad = outcome.bad("no_majority")
+    failure: outcome.Failure = outcome.failure("no_majority")
     # Whether a disk may have accepted a new value under it.
     sent: bool = False
     # Whether a disk had promised a higher one.
@@ -56,23 +56,23 @@
     def __init__(
         self,
         name: str,
-        caller: frames.Caller,
+        call_client: frames.CallClient,
         clock: ports.Clock,
-        points: ports.Points,
+        fault_points: ports.FaultPoints,
         wait: float,
         rng: random.Random,
     ) -> None:
         # The name must be new with each start, so that no ballot is ever used twice.
         self._name = name
         self._clock = clock
-        self._points = points
+        self._fault_points = fault_points
         self._wait = wait
         self._rng = rng
         self._count = 0
-        self.quorum = quorums.Quorum(caller, clock, wait)
+        self.quorum = quorums.Quorum(call_client, clock, wait)
         self.copies = copies.Copies(self.quorum)
         # How many copies were found apart and brought together.
-        self.mended = 0
+        self.repaired = 0
         self._reads = shared_reads.SharedReads(self._read, wait * READ_OVERLAP)
         # Our changes of one key go one after the other: side by side they would outvote each other.
         self._turns: dict[str, asyncio.Lock] = {}
@@ -86,21 +86,21 @@
         self._count += 1
         return (self._count, self._name)
 
-    async def _learn_from(self, no: list[outcome.Bad]) -> bool:
+    async def _learn_from(self, no: list[outcome.Failure]) -> bool:
         """Learn from refusals; true if another try under new knowledge makes sense."""
         again = False
-        for bad in no:
-            if bad.code.tag == quorums.OUTVOTED:
-                again = self._outvoted(bad.why) or again
-            elif bad.code.tag == quorums.OLD_EPOCH:
+        for failure in no:
+            if failure.code.tag == quorums.OUTVOTED:
+                again = self._outvoted(failure.detail) or again
+            elif failure.code.tag == quorums.OLD_EPOCH:
                 again = await self.quorum.learn() or again
         return again
 
-    def _outvoted(self, why: str) -> bool:
+    def _outvoted(self, detail: str) -> bool:
         """Take up the counter of a higher ballot, if it is one that a later ballot can pass."""
-        if not why.isascii() or not why.isdigit() or not register.whole(int(why) + 1):
+        if not detail.isascii() or not detail.isdigit() or not register.is_count(int(detail) + 1):
             return False
-        self._count = max(self._count, int(why))
+        self._count = max(self._count, int(detail))
         return True
 
     async def change(self, key: str, step: Step) -> Read:
@@ -111,7 +111,7 @@
             async with asyncio.timeout(self._wait * QUEUE_WAITS):
                 await turn.acquire()
         except TimeoutError:
-            return outcome.bad("no_majority", "other changes are under way")
+            return outcome.failure("no_majority", "other changes are under way")
         try:
             return await self._change(key, step, end)
         finally:
@@ -134,25 +134,25 @@
             if self._clock.now() >= end:
                 break
         if sent:
-            return outcome.bad("unknown", "the register may or may not have taken it")
-        return attempt.why
+            return outcome.failure("unknown", "the register may or may not have taken it")
+        return attempt.failure
 
     async def _attempt(self, key: str, step: Step) -> _Attempt:
         """One ballot: prepare at a majority, take the step, and have a majority accept."""
         members = self.members
         groups = members.groups
         if not groups:
-            return _Attempt(why=outcome.bad("no_majority", "no member set known"))
+            return _Attempt(failure=outcome.failure("no_majority", "no member set known"))
         ballot = self._ballot()
-        self._points.hit(POINT_BEFORE_PREPARE)
-        ask = messages.Prepare(key, ballot, members.epoch, quorums.ANY_DISK)
-        promises = await self.quorum.ask_all(groups, ask, messages.Promise)
-        if not promises.carried():
+        self._fault_points.hit(POINT_BEFORE_PREPARE)
+        request = messages.Prepare(key, ballot, members.epoch, quorums.ANY_DISK)
+        promises = await self.quorum.call_all(groups, request, messages.Promise)
+        if not promises.has_majorities():
             return await self._failed(promises)
         best, now = _highest(promises.yes)
         fresh = step(now)
-        refused = fresh if isinstance(fresh, outcome.Bad) else None
-        if isinstance(fresh, outcome.Bad):
+        refused = fresh if isinstance(fresh, outcome.Failure) else None
+        if isinstance(fresh, outcome.Failure):
             # A refusal may be told only once what it rests on is held by a majority, and
             # no earlier try of the same change, ours or another's, can still win: what
             # stands is written again under this ballot before we say so.
@@ -162,27 +162,27 @@
             # The accept goes out under this very ballot: the counter may be moved by
             # another change of ours while we wait.
             ballot = self._ballot()
-            ask = dataclasses.replace(ask, ballot=ballot)
-            promises = await self.quorum.ask_all(wide, ask, messages.Promise)
-            if not promises.carried():
+            request = dataclasses.replace(request, ballot=ballot)
+            promises = await self.quorum.call_all(wide, request, messages.Promise)
+            if not promises.has_majorities():
                 return await self._failed(promises)
             if _highest(promises.yes)[0] > best:
                 return _Attempt()
         if members.epoch != self.members.epoch:
             return _Attempt()
-        self._points.hit(POINT_BEFORE_ACCEPT)
+        self._fault_points.hit(POINT_BEFORE_ACCEPT)
         accept = messages.Accept(key, ballot, fresh, members.epoch, quorums.ANY_DISK)
-        accepted = await self.quorum.ask_all(wide, accept, messages.Accepted)
-        self._points.hit(POINT_AFTER_ACCEPT)
-        if not accepted.carried():
+        accepted = await self.quorum.call_all(wide, accept, messages.Accepted)
+        self._fault_points.hit(POINT_AFTER_ACCEPT)
+        if not accepted.has_majorities():
             return await self._failed(accepted, sent=refused is None)
         self.copies.hold(key, ballot, fresh)
-        return _Attempt(decided=refused if refused is not None else outcome.Good(fresh))
+        return _Attempt(decided=refused if refused is not None else outcome.Success(fresh))
 
     async def _failed(self, answers: quorums.Answers[typing.Any], sent: bool = False) -> _Attempt:
         """An attempt that too few disks took part in; what they told is learnt."""
         await self._learn_from(answers.no)
-        return _Attempt(why=answers.why(), sent=sent, outvoted=answers.outvoted())
+        return _Attempt(failure=answers.failure(), sent=sent, outvoted=answers.outvoted())
 
     def _retry_s(self, took_s: float, outvoted: int) -> float:
         """How long to wait before the next try: by chance, so that two that race part."""
@@ -206,31 +206,31 @@
             if not isinstance(look, copies.Look):
                 if self._clock.now() < end and await self._learn_from(look.no):
                     continue
-                return look.why()
+                return look.failure()
             # Our next change begins above it: else it is outvoted once for certain.
             self._count = max(self._count, look.ballot[0])
             if look.alike or await self._completed(look):
-                return outcome.Good(look.value)
+                return outcome.Success(look.value)
             disputes += 1
             if disputes > LOOKS:
-                mended = await self._mend(key)
-                if mended is not None:
-                    return mended
+                repaired = await self._repair(key)
+                if repaired is not None:
+                    return repaired
             if self._clock.now() >= end:
-                return outcome.bad("no_majority", "the copies are in dispute")
+                return outcome.failure("no_majority", "the copies are in dispute")
             # A later change may be under way: to outvote it at once would help nobody.
             await self._clock.sleep(self._retry_s(self._clock.now() - begun, disputes))
-        return outcome.bad("no_majority", "no member set known")
+        return outcome.failure("no_majority", "no member set known")
 
     async def _completed(self, look: copies.Look) -> bool:
         """Whether a majority holds the newest copy, once it was sent to those that lacked it."""
         answers = await self.copies.complete(look)
-        if answers.carried():
+        if answers.has_majorities():
             return True
         await self._learn_from(answers.no)
         return False
 
-    async def _mend(self, key: str) -> Read | None:
+    async def _repair(self, key: str) -> Read | None:
         """Try once to write what stands under a ballot of our own; nothing where it is not decided.
 
         Then it is time to look again: somebody else may have mended it meanwhile.
@@ -240,25 +240,25 @@
             async with turn:
                 return None
         async with turn:
-            self.mended += 1
+            self.repaired += 1
             return (await self._attempt(key, lambda now: now)).decided
 
-    async def sweep_copies(self) -> int:
+    async def repair_copies(self) -> int:
         """Bring the newest copy of every key to all disks that hold an older one."""
-        before = self.mended
+        before = self.repaired
         for key in await self.copies.keys() or []:
             unlike = await self.copies.unlike(key)
             if unlike is None:
                 continue
-            self.mended += 1
+            self.repaired += 1
             if not await self.copies.spread(*unlike):
                 # One of them promised a later ballot: only a later one still can bring them together.
                 await self.change(key, lambda now: now)
-        return self.mended - before
+        return self.repaired - before
 
 
 def _highest(yes: dict[str, messages.Promise]) -> tuple[register.Ballot, register.Value]:
     best = max(yes.values(), key=lambda promise: promise.ballot, default=None)
-    if best is None or best.ballot == register.ZERO:
-        return register.ZERO, register.BLANK
+    if best is None or best.ballot == register.ZERO_BALLOT:
+        return register.ZERO_BALLOT, register.INITIAL_VALUE
     return best.ballot, best.value
--- a/packages/register/src/dykeswitch/register/quorum.py
+++ b/packages/register/src/dykeswitch/register/quorum.py
@@ -12,7 +12,7 @@
 import dykeswitch.register.messages as messages
 
 Groups = tuple[tuple[tuple[str, str], ...], ...]
-Ask = messages.Prepare | messages.Accept | messages.Read | messages.Keys
+DiskRequest = messages.Prepare | messages.Accept | messages.Read | messages.Keys
 Answer = typing.TypeVar("Answer", bound=messages.Reply)
 
 # Stands in a message until it is addressed to one of the disks.
@@ -31,30 +31,30 @@
 
     groups: Groups
     yes: dict[str, Answer]
-    no: list[outcome.Bad]
+    no: list[outcome.Failure]
 
-    def carried(self) -> bool:
+    def has_majorities(self) -> bool:
         """Whether each group has its majority."""
-        return register.carried(self.groups, self.yes)
+        return register.has_majorities(self.groups, self.yes)
 
-    def why(self) -> outcome.Bad:
+    def failure(self) -> outcome.Failure:
         """Why there is no majority."""
-        seen = ", ".join(sorted({bad.code.tag for bad in self.no}))
-        return outcome.bad("no_majority", seen)
+        seen = ", ".join(sorted({failure.code.tag for failure in self.no}))
+        return outcome.failure("no_majority", seen)
 
     def outvoted(self) -> bool:
         """Whether a disk had promised a higher ballot."""
-        return any(bad.code.tag == OUTVOTED for bad in self.no)
+        return any(failure.code.tag == OUTVOTED for failure in self.no)
 
 
 class Quorum:
     """The member set as one registry knows it, and calls to its disks."""
 
-    def __init__(self, caller: frames.Caller, clock: ports.Clock, wait: float) -> None:
-        self._caller = caller
+    def __init__(self, call_client: frames.CallClient, clock: ports.Clock, wait: float) -> None:
+        self._call_client = call_client
         self._clock = clock
         self._wait = wait
-        self.members = register.NOBODY
+        self.members = register.EMPTY_MEMBER_SET
         # Where a disk was last seen, which beats the address in the member set.
         self.addresses: dict[str, ports.Address] = {}
         # Calls whose answer came too late to count, held until they end.
@@ -71,35 +71,41 @@
         """Where a disk is reached: as it was seen last, or as the member set tells."""
         return self.addresses.get(disk) or ports.address_of(told)
 
-    async def ask(
-        self, disk: str, address: ports.Address, ask: Ask, answer: type[Answer]
-    ) -> outcome.Good[Answer] | outcome.Bad:
+    async def call(
+        self, disk: str, address: ports.Address, request: DiskRequest, answer: type[Answer]
+    ) -> outcome.Success[Answer] | outcome.Failure:
         """Ask one disk; an answer that is malformed counts as none."""
-        body = messages.encode(dataclasses.replace(ask, disk=disk))
-        result = await self._caller.ask(address, ask.KIND, body, self._wait)
-        if isinstance(result, outcome.Bad):
+        body = messages.encode(dataclasses.replace(request, disk=disk))
+        result = await self._call_client.call(address, request.KIND, body, self._wait)
+        if isinstance(result, outcome.Failure):
             return result
         try:
-            return outcome.Good(messages.decode(answer, result.value))
+            return outcome.Success(messages.decode(answer, result.value))
         except ValueError as flaw:
-            return outcome.bad("bad_frame", f"{address}: {flaw}")
+            return outcome.failure("bad_frame", f"{address}: {flaw}")
 
-    async def ask_each(self, ask: Ask, answer: type[Answer]) -> dict[str, Answer]:
+    async def call_each(self, request: DiskRequest, answer: type[Answer]) -> dict[str, Answer]:
         """The answers of all disks that answer in time, rather than of a majority."""
         addresses = {d: self.address(d, told) for d, told in self.members.disks().items()}
         results = await asyncio.gather(
-            *(self.ask(disk, address, ask, answer) for disk, address in addresses.items())
+            *(self.call(disk, address, request, answer) for disk, address in addresses.items())
         )
         return {
-            disk: result.value for disk, result in zip(addresses, results) if isinstance(result, outcome.Good)
+            disk: result.value
+            for disk, result in zip(addresses, results)
+            if isinstance(result, outcome.Success)
         }
 
-    async def ask_all(self, groups: Groups, ask: Ask, answer: type[Answer]) -> Answers[Answer]:
+    async def call_all(self, groups: Groups, request: DiskRequest, answer: type[Answer]) -> Answers[Answer]:
         """Ask every disk of the groups; return once each group has its majority or can't."""
-        return await self.ask_others(groups, ask, answer, {})
-
-    async def ask_others(
-        self, groups: Groups, ask: Ask, answer: type[Answer], answered: typing.Mapping[str, Answer]
+        return await self.call_others(groups, request, answer, {})
+
+    async def call_others(
+        self,
+        groups: Groups,
+        request: DiskRequest,
+        answer: type[Answer],
+        answered: typing.Mapping[str, Answer],
     ) -> Answers[Answer]:
         """The same for the disks that have not answered yet; the answers of all.
 
@@ -107,13 +113,13 @@
         moment longer: the next try is worth more than the answer of one that is silent.
         """
         yes: dict[str, Answer] = dict(answered)
-        no: dict[str, outcome.Bad] = {}
+        no: dict[str, outcome.Failure] = {}
         disks = {disk: told for group in groups for disk, told in group}
         news = asyncio.Event()
 
         async def one(disk: str, address: ports.Address) -> None:
-            result = await self.ask(disk, address, ask, answer)
-            if isinstance(result, outcome.Good):
+            result = await self.call(disk, address, request, answer)
+            if isinstance(result, outcome.Success):
                 yes[disk] = result.value
             else:
                 no[disk] = result
@@ -121,7 +127,7 @@
 
         def settled() -> bool:
             possible = disks.keys() - no.keys()
-            return register.carried(groups, yes) or not register.carried(groups, possible)
+            return register.has_majorities(groups, yes) or not register.has_majorities(groups, possible)
 
         end: float | None = None
         tasks = [
@@ -132,7 +138,7 @@
         try:
             while not settled():
                 news.clear()
-                if end is None and any(bad.code.tag in SUPERSEDED for bad in no.values()):
+                if end is None and any(failure.code.tag in SUPERSEDED for failure in no.values()):
                     end = self._clock.now() + self._wait * SUPERSEDED_WAIT
                 async with asyncio.timeout(None if end is None else max(0.0, end - self._clock.now())):
                     await news.wait()
@@ -158,10 +164,10 @@
         news = asyncio.Event()
 
         async def one(address: ports.Address) -> None:
-            result = await self._caller.ask(address, "state", {}, self._wait)
-            if isinstance(result, outcome.Good):
+            result = await self._call_client.call(address, "state", {}, self._wait)
+            if isinstance(result, outcome.Success):
                 with contextlib.suppress(ValueError, TypeError, AttributeError, KeyError, OverflowError):
-                    self.adopt(register.set_of(result.value["set"]))
+                    self.adopt(register.decode_member_set(result.value["set"]))
             news.set()
 
         tasks = [asyncio.create_task(one(address)) for address in sorted(addresses)]
@@ -176,8 +182,8 @@
     def groups_for(self, key: str, value: register.Value | None) -> Groups:
         """The groups of which each must take part in a write of a key's value."""
         groups = self.members.groups
-        if key == register.MEMBERS and value is not None and value.body:
+        if key == register.MEMBERS_KEY and value is not None and value.body:
             # A member set is written to majorities of both the old set and its own.
-            extra = register.decode_set(value).groups
+            extra = register.member_set_from_body(value).groups
             groups = groups + tuple(g for g in extra if g not in groups)
         return groups
--- a/packages/register/src/dykeswitch/register/records.py
+++ b/packages/register/src/dykeswitch/register/records.py
@@ -19,9 +19,9 @@
 class Records:
     """Reads and writes the records on a disk; writes of several keys may go on at once."""
 
-    def __init__(self, disk: ports.Disk, points: ports.Points) -> None:
+    def __init__(self, disk: ports.Disk, fault_points: ports.FaultPoints) -> None:
         self._disk = disk
-        self.storage = storage.Storage(disk, points)
+        self.storage = storage.Storage(disk, fault_points)
         # A replica with a vote was once erased here.
         self.voted_before = False
         # Whether what is on the disk is known, after the last write.
@@ -36,7 +36,7 @@
         self._idle.set()
 
     @property
-    def damaged(self) -> str:
+    def disk_fault(self) -> str:
         """Why nothing can be written at present, or nothing."""
         if self.fault:
             return self.fault
@@ -84,7 +84,7 @@
             await self._disk.run(step)
         except ErasedError:
             raise
-        except storage.NotWritten as flaw:
+        except storage.NotWrittenError as flaw:
             # The older record is in force: the next write may find room again.
             self.fault = str(flaw)
             raise
--- a/packages/register/src/dykeswitch/register/replica.py
+++ b/packages/register/src/dykeswitch/register/replica.py
@@ -66,7 +66,7 @@
             "disk": self.disk,
             "blank": self.blank,
             "seated": self.seated,
-            "set": self.members.wire(),
+            "set": self.members.to_wire(),
             # What a system says of a disk may hold a long path: it must not cost the state.
             "damaged": self.damaged[:TEXT_MOST],
             "zone": self.site.zone,
@@ -113,6 +113,6 @@
 
 def _members(raw: typing.Any) -> register.MemberSet:
     try:
-        return register.set_of(raw)
+        return register.decode_member_set(raw)
     except (TypeError, AttributeError) as flaw:
         raise ValueError("not a member set") from flaw
--- a/packages/register/src/dykeswitch/register/storage.py
+++ b/packages/register/src/dykeswitch/register/storage.py
@@ -38,20 +38,20 @@
 WORK_PREFIX: typing.Final = "tmp"
 
 
-class Damage(Exception):
+class StorageDamageError(Exception):
     """A generation that was switched to can't be read: the disk itself is at fault."""
 
 
-class NotWritten(OSError):
+class NotWrittenError(OSError):
     """A write failed before its rename: the older record is in force, as if nothing was asked."""
 
 
 class Storage:
     """Records by key, each write synced before it returns."""
 
-    def __init__(self, disk: ports.Disk, points: ports.Points) -> None:
+    def __init__(self, disk: ports.Disk, fault_points: ports.FaultPoints) -> None:
         self._disk = disk
-        self._points = points
+        self._fault_points = fault_points
         self._base = disk.root / BASE_NAME
         self._retired = disk.root / RETIRED_NAME
         self._marker = disk.root / MARKER_NAME
@@ -78,7 +78,7 @@
         try:
             key = bytes.fromhex(folder.name).decode()
         except ValueError as flaw:
-            raise Damage(f"{folder}: no folder of ours") from flaw
+            raise StorageDamageError(f"{folder}: no folder of ours") from flaw
         # The newest generation may have been renamed by a process that was killed before it
         # synced the name. Older ones are dropped below, so the name must last first.
         self._disk.sync_folder(folder)
@@ -99,15 +99,15 @@
             with dbm.dumb.open(str(path / "db"), "r") as book:
                 data, seal = book[FIELD], book[SEAL]
         except (OSError, KeyError, ValueError, SyntaxError) as flaw:
-            raise Damage(f"{path}: {flaw}") from flaw
+            raise StorageDamageError(f"{path}: {flaw}") from flaw
         if hashlib.sha256(data).digest() != seal:
-            raise Damage(f"{path}: checksum does not match")
+            raise StorageDamageError(f"{path}: checksum does not match")
         return cbor2.loads(data)
 
     def put(self, key: str, record: typing.Any) -> None:
         """Write one record and make it last before returning.
 
-        Raises `NotWritten` if the older record is sure to be in force, and a plain `OSError`
+        Raises `NotWrittenError` if the older record is sure to be in force, and a plain `OSError`
         if it is not known which of the two is.
         """
         folder = self._base / key.encode().hex()
@@ -115,15 +115,15 @@
         try:
             work = self._prepare(folder, gen, cbor2.dumps(record))
         except OSError as flaw:
-            raise NotWritten(str(flaw)) from flaw
+            raise NotWrittenError(str(flaw)) from flaw
         self._disk.rename(work, _generation(folder, gen))
-        self._points.hit(POINT_RENAMED)
+        self._fault_points.hit(POINT_RENAMED)
         self._disk.sync_folder(folder)
-        self._points.hit(POINT_PARENT_SYNCED)
+        self._fault_points.hit(POINT_PARENT_SYNCED)
         self._gens[key] = gen
         if gen > 1:
             self._disk.drop(_generation(folder, gen - 1))
-        self._points.hit(POINT_OLD_DROPPED)
+        self._fault_points.hit(POINT_OLD_DROPPED)
 
     def voted_before(self) -> bool:
         """Whether a replica with a vote was once erased from this disk."""
@@ -145,7 +145,7 @@
 
     def _prepare(self, folder: pathlib.Path, gen: int, data: bytes) -> pathlib.Path:
         """A synced generation under a name that no reader looks at."""
-        self._points.hit(POINT_BEFORE)
+        self._fault_points.hit(POINT_BEFORE)
         if folder not in self._lasting:
             # It may be there already, from a write that failed before its name was synced.
             folder.mkdir(exist_ok=True)
@@ -157,12 +157,12 @@
         with dbm.dumb.open(str(work / "db"), "n") as book:
             book[FIELD] = data
             book[SEAL] = hashlib.sha256(data).digest()
-        self._points.hit(POINT_WRITTEN)
+        self._fault_points.hit(POINT_WRITTEN)
         for path in sorted(work.iterdir()):
             self._disk.sync_file(path)
-        self._points.hit(POINT_FILES_SYNCED)
+        self._fault_points.hit(POINT_FILES_SYNCED)
         self._disk.sync_folder(work)
-        self._points.hit(POINT_FOLDER_SYNCED)
+        self._fault_points.hit(POINT_FOLDER_SYNCED)
         return work
 
 
@@ -174,4 +174,4 @@
     try:
         return int(path.name[len(GENERATION_PREFIX) :])
     except ValueError as flaw:
-        raise Damage(f"{path}: no generation of ours") from flaw
+        raise StorageDamageError(f"{path}: no generation of ours") from flaw
--- a/packages/register/src/dykeswitch/register/voter.py
+++ b/packages/register/src/dykeswitch/register/voter.py
@@ -27,25 +27,25 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Seat:
+class KeyState:
     """What the disk knows of one key; changed only once it is durable."""
 
-    promised: register.Ballot = register.ZERO
-    ballot: register.Ballot = register.ZERO
-    value: register.Value = register.BLANK
+    promised: register.Ballot = register.ZERO_BALLOT
+    ballot: register.Ballot = register.ZERO_BALLOT
+    value: register.Value = register.INITIAL_VALUE
     lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
 
     def record(self) -> list[typing.Any]:
         """The seat as it stands on the disk."""
-        return [list(self.promised), list(self.ballot), self.value.wire()]
+        return [list(self.promised), list(self.ballot), self.value.to_wire()]
 
 
 class _RefusedError(Exception):
     """A vote that is not given."""
 
-    def __init__(self, bad: outcome.Bad) -> None:
-        super().__init__(bad.code.text)
-        self.bad = bad
+    def __init__(self, failure: outcome.Failure) -> None:
+        super().__init__(failure.code.text)
+        self.failure = failure
 
 
 class Voter:
@@ -54,15 +54,15 @@
     def __init__(
         self,
         disk: ports.Disk,
-        points: ports.Points,
+        fault_points: ports.FaultPoints,
         rng: random.Random,
         site: replicas.Site | None = None,
     ) -> None:
         self._site = site or replicas.Site()
         self._rng = rng
-        self._records = durable.Records(disk, points)
-        self._seats: dict[str, Seat] = {}
-        self._set = register.NOBODY
+        self._records = durable.Records(disk, fault_points)
+        self._key_states: dict[str, KeyState] = {}
+        self._set = register.EMPTY_MEMBER_SET
         self._set_lock = asyncio.Lock()
         self.disk_id = ""
         # Set when its process is asked to stop: the vote is to be handed over.
@@ -74,21 +74,23 @@
         Raises `OSError` when the disk does not serve; it may then be called again.
         """
         records = await self._records.open()
-        self._seats.clear()
+        self._key_states.clear()
         for key, record in records.items():
             if key == DISK_KEY:
                 self.disk_id = str(record)
             elif key == SET_KEY:
-                self._set = register.set_of(record)
+                self._set = register.decode_member_set(record)
             else:
                 promised, ballot, value = record
-                self._seats[key] = Seat(
-                    register.ballot_of(promised), register.ballot_of(ballot), register.value_of(value)
+                self._key_states[key] = KeyState(
+                    register.decode_ballot(promised),
+                    register.decode_ballot(ballot),
+                    register.decode_value(value),
                 )
         if not self.disk_id:
             # A disk with votes but no id is not blank: someone removed a part of it.
             if records:
-                raise storage.Damage("the disk's id is gone but its records are not")
+                raise storage.StorageDamageError("the disk's id is gone but its records are not")
             await self._draw_id()
 
     async def _draw_id(self) -> None:
@@ -102,29 +104,30 @@
         return self._set
 
     @property
-    def damaged(self) -> str:
+    def disk_fault(self) -> str:
         """Why this disk gives no vote at present, or nothing."""
-        return self._records.damaged
+        return self._records.disk_fault
 
-    def seated(self) -> bool:
+    def has_vote(self) -> bool:
         """Whether this disk is in the member set that it knows."""
         return self.disk_id in self._set.disks()
 
-    def replaced(self) -> bool:
+    def is_replaced(self) -> bool:
         """Whether the set it knows of takes its vote away, or is about to."""
         return self._set.epoch > 0 and all(disk != self.disk_id for disk, _ in self._set.groups[-1])
 
-    def blank(self) -> bool:
+    def never_voted(self) -> bool:
         """The disk never had a vote: such stores may found a member set."""
-        return self.vacant() and not self._records.voted_before
+        return self.is_vacant() and not self._records.voted_before
 
-    def vacant(self) -> bool:
+    def is_vacant(self) -> bool:
         """Never seated and never voted in this life, but for rounds that were to seat it."""
         return self._set.epoch == 0 and not any(
-            key != register.MEMBERS and seat.promised != register.ZERO for key, seat in self._seats.items()
+            key != register.MEMBERS_KEY and key_state.promised != register.ZERO_BALLOT
+            for key, key_state in self._key_states.items()
         )
 
-    def kinds(self) -> dict[str, frames.Handle]:
+    def kinds(self) -> dict[str, frames.Handler]:
         """The calls a store answers."""
         return {
             "state": self._state,
@@ -140,12 +143,12 @@
         try:
             await self._records.put(key, record)
         except OSError as flaw:
-            raise _RefusedError(outcome.bad("disk_fault", str(flaw))) from flaw
+            raise _RefusedError(outcome.failure("disk_fault", str(flaw))) from flaw
 
     async def _turn(self, lock: asyncio.Lock) -> None:
         """Take a lock, or refuse: nothing is queued behind a stalled disk."""
         if self._records.stalled():
-            raise _RefusedError(outcome.bad("disk_fault", self.damaged))
+            raise _RefusedError(outcome.failure("disk_fault", self.disk_fault))
         if not lock.locked():
             await lock.acquire()
             return
@@ -153,20 +156,20 @@
             async with asyncio.timeout(STALL_S):
                 await lock.acquire()
         except TimeoutError:
-            raise _RefusedError(outcome.bad("disk_fault", "other votes are under way")) from None
+            raise _RefusedError(outcome.failure("disk_fault", "other votes are under way")) from None
 
-    def _barred(self, key: str, disk: str, epoch: int) -> outcome.Bad | None:
+    def _barred(self, key: str, disk: str, epoch: int) -> outcome.Failure | None:
         """Why this disk may not answer, if it may not."""
         if not self._records.content_known:
-            return outcome.bad("disk_fault", self._records.fault)
+            return outcome.failure("disk_fault", self._records.fault)
         if disk != self.disk_id:
-            return outcome.bad("other_disk", self.disk_id)
+            return outcome.failure("other_disk", self.disk_id)
         # Under an older set a majority might be counted that no longer is one.
         if epoch < self._set.epoch:
-            return outcome.bad("old_epoch", str(self._set.epoch))
+            return outcome.failure("old_epoch", str(self._set.epoch))
         # A new disk may take part only in the round that seats it.
-        if key != register.MEMBERS and not self.seated():
-            return outcome.bad("not_seated", self.disk_id)
+        if key != register.MEMBERS_KEY and not self.has_vote():
+            return outcome.failure("not_seated", self.disk_id)
         return None
 
     def _check(self, key: str, disk: str, epoch: int) -> None:
@@ -176,72 +179,72 @@
             raise _RefusedError(barred)
 
     async def _state(self, body: frames.Body) -> frames.Result:
-        return outcome.Good(self.state().encode())
+        return outcome.Success(self.state().encode())
 
     def state(self) -> replicas.ReplicaState:
         """What the store tells of its replica."""
         return replicas.ReplicaState(
             disk=self.disk_id,
-            blank=self.blank(),
-            erased=self.vacant() and self._records.voted_before,
-            seated=self.seated(),
+            blank=self.never_voted(),
+            erased=self.is_vacant() and self._records.voted_before,
+            seated=self.has_vote(),
             members=self._set,
-            damaged=self.damaged,
+            damaged=self.disk_fault,
             site=self._site,
             leaving=self.leaving,
         )
 
     async def _prepare(self, body: frames.Body) -> frames.Result:
-        ask = messages.decode(messages.Prepare, body)
+        request = messages.decode(messages.Prepare, body)
         try:
-            return _good(await self._promise(ask))
+            return _good(await self._promise(request))
         except _RefusedError as refusal:
-            return refusal.bad
+            return refusal.failure
 
-    async def _promise(self, ask: messages.Prepare) -> messages.Promise:
-        self._check(ask.key, ask.disk, ask.epoch)
-        seat = self._seats.setdefault(ask.key, Seat())
-        await self._turn(seat.lock)
+    async def _promise(self, request: messages.Prepare) -> messages.Promise:
+        self._check(request.key, request.disk, request.epoch)
+        key_state = self._key_states.setdefault(request.key, KeyState())
+        await self._turn(key_state.lock)
         try:
-            self._check(ask.key, ask.disk, ask.epoch)
-            if ask.ballot <= seat.promised:
-                raise _RefusedError(outcome.bad("outvoted", str(seat.promised[0])))
-            fresh = Seat(ask.ballot, seat.ballot, seat.value)
-            await self._vote(ask.key, fresh.record())
-            seat.promised = ask.ballot
+            self._check(request.key, request.disk, request.epoch)
+            if request.ballot <= key_state.promised:
+                raise _RefusedError(outcome.failure("outvoted", str(key_state.promised[0])))
+            fresh = KeyState(request.ballot, key_state.ballot, key_state.value)
+            await self._vote(request.key, fresh.record())
+            key_state.promised = request.ballot
             # The set may have moved while we synced: then this promise is void.
-            self._check(ask.key, ask.disk, ask.epoch)
-            return messages.Promise(seat.ballot, seat.value)
+            self._check(request.key, request.disk, request.epoch)
+            return messages.Promise(key_state.ballot, key_state.value)
         finally:
-            seat.lock.release()
+            key_state.lock.release()
 
     async def _accept(self, body: frames.Body) -> frames.Result:
-        ask = messages.decode(messages.Accept, body)
+        request = messages.decode(messages.Accept, body)
         try:
-            return _good(await self._take_up(ask))
+            return _good(await self._take_up(request))
         except _RefusedError as refusal:
-            return refusal.bad
+            return refusal.failure
 
-    async def _take_up(self, ask: messages.Accept) -> messages.Accepted:
-        self._check(ask.key, ask.disk, ask.epoch)
-        seat = self._seats.setdefault(ask.key, Seat())
-        await self._turn(seat.lock)
+    async def _take_up(self, request: messages.Accept) -> messages.Accepted:
+        self._check(request.key, request.disk, request.epoch)
+        key_state = self._key_states.setdefault(request.key, KeyState())
+        await self._turn(key_state.lock)
         try:
-            self._check(ask.key, ask.disk, ask.epoch)
-            if ask.ballot < seat.promised:
-                raise _RefusedError(outcome.bad("outvoted", str(seat.promised[0])))
-            if ask.ballot == seat.ballot != register.ZERO:
+            self._check(request.key, request.disk, request.epoch)
+            if request.ballot < key_state.promised:
+                raise _RefusedError(outcome.failure("outvoted", str(key_state.promised[0])))
+            if request.ballot == key_state.ballot != register.ZERO_BALLOT:
                 # Taken before, and durable: whoever sends it once more costs the disk nothing.
                 return messages.Accepted()
-            fresh = Seat(ask.ballot, ask.ballot, ask.value)
-            await self._vote(ask.key, fresh.record())
-            seat.promised = seat.ballot = ask.ballot
-            seat.value = ask.value
+            fresh = KeyState(request.ballot, request.ballot, request.value)
+            await self._vote(request.key, fresh.record())
+            key_state.promised = key_state.ballot = request.ballot
+            key_state.value = request.value
             # The set may have moved while we synced: then this vote is void.
-            self._check(ask.key, ask.disk, ask.epoch)
+            self._check(request.key, request.disk, request.epoch)
             return messages.Accepted()
         finally:
-            seat.lock.release()
+            key_state.lock.release()
 
     async def _read(self, body: frames.Body) -> frames.Result:
         """Answer from what is durable, also while a write of the key is under way.
@@ -249,41 +252,43 @@
         That write is told to nobody before it is synced, so to answer without it is to answer
         as if asked before it: no reader has seen it, and no proposer counts it.
         """
-        ask = messages.decode(messages.Read, body)
+        request = messages.decode(messages.Read, body)
         try:
-            self._check(ask.key, ask.disk, ask.epoch)
+            self._check(request.key, request.disk, request.epoch)
         except _RefusedError as refusal:
-            return refusal.bad
-        seat = self._seats.get(ask.key) or Seat()
+            return refusal.failure
+        key_state = self._key_states.get(request.key) or KeyState()
         # A reader that holds this very ballot's value needs no second copy.
-        value = None if seat.ballot == ask.have else seat.value
-        return _good(messages.ReadReply(seat.ballot, seat.value.version, value))
+        value = None if key_state.ballot == request.have else key_state.value
+        return _good(messages.ReadReply(key_state.ballot, key_state.value.version, value))
 
     async def _keys(self, body: frames.Body) -> frames.Result:
-        ask = messages.decode(messages.Keys, body)
+        request = messages.decode(messages.Keys, body)
         try:
-            self._check("", ask.disk, ask.epoch)
+            self._check("", request.disk, request.epoch)
         except _RefusedError as refusal:
-            return refusal.bad
-        accepted = sorted(key for key, seat in self._seats.items() if seat.ballot != register.ZERO)
+            return refusal.failure
+        accepted = sorted(
+            key for key, key_state in self._key_states.items() if key_state.ballot != register.ZERO_BALLOT
+        )
         return _good(messages.KeysReply(tuple(accepted)))
 
     async def _install(self, body: frames.Body) -> frames.Result:
         """Take up a committed member set; only a higher epoch moves it."""
-        ask = messages.decode(messages.Install, body)
+        request = messages.decode(messages.Install, body)
         try:
-            return _good(await self._move_to(ask))
+            return _good(await self._move_to(request))
         except _RefusedError as refusal:
-            return refusal.bad
+            return refusal.failure
 
-    async def _move_to(self, ask: messages.Install) -> messages.Installed:
-        if ask.disk != self.disk_id:
-            raise _RefusedError(outcome.bad("other_disk", self.disk_id))
+    async def _move_to(self, request: messages.Install) -> messages.Installed:
+        if request.disk != self.disk_id:
+            raise _RefusedError(outcome.failure("other_disk", self.disk_id))
         await self._turn(self._set_lock)
         try:
-            if ask.members.epoch > self._set.epoch:
-                await self._vote(SET_KEY, ask.members.wire())
-                self._set = ask.members
+            if request.members.epoch > self._set.epoch:
+                await self._vote(SET_KEY, request.members.to_wire())
+                self._set = request.members
             return messages.Installed(self._set.epoch)
         finally:
             self._set_lock.release()
@@ -294,22 +299,22 @@
         It is only asked for once a majority of the set in force holds that set, so that
         nobody needs this replica to learn of it.
         """
-        ask = messages.decode(messages.Retire, body)
+        request = messages.decode(messages.Retire, body)
         try:
-            return _good(await self._give_up(ask))
+            return _good(await self._give_up(request))
         except _RefusedError as refusal:
-            return refusal.bad
+            return refusal.failure
 
-    async def _give_up(self, ask: messages.Retire) -> messages.Retired:
+    async def _give_up(self, request: messages.Retire) -> messages.Retired:
         await self._turn(self._set_lock)
         try:
-            if ask.disk != self.disk_id:
-                raise _RefusedError(outcome.bad("other_disk", self.disk_id))
+            if request.disk != self.disk_id:
+                raise _RefusedError(outcome.failure("other_disk", self.disk_id))
             if not self._records.content_known:
-                raise _RefusedError(outcome.bad("disk_fault", self._records.fault))
-            told = ask.members
-            if told.epoch < self._set.epoch or told.joint() or self.disk_id in told.disks():
-                raise _RefusedError(outcome.bad("conflict", f"epoch {self._set.epoch}"))
+                raise _RefusedError(outcome.failure("disk_fault", self._records.fault))
+            told = request.members
+            if told.epoch < self._set.epoch or told.is_joint() or self.disk_id in told.disks():
+                raise _RefusedError(outcome.failure("conflict", f"epoch {self._set.epoch}"))
             await self._erase()
             return messages.Retired(self.disk_id)
         finally:
@@ -318,16 +323,16 @@
     async def _erase(self) -> None:
         # From here on no call for the old id is answered, and none of its writes is made.
         self.disk_id = ""
-        self._seats = {}
-        self._set = register.NOBODY
+        self._key_states = {}
+        self._set = register.EMPTY_MEMBER_SET
         try:
             await self._records.erase()
             await self._draw_id()
         except OSError as flaw:
             # Neither the old replica nor a new one: only a start can tell what is left.
             self._records.content_known = False
-            raise _RefusedError(outcome.bad("disk_fault", str(flaw))) from flaw
+            raise _RefusedError(outcome.failure("disk_fault", str(flaw))) from flaw
 
 
 def _good(reply: messages.Reply) -> frames.Result:
-    return outcome.Good(messages.encode(reply))
+    return outcome.Success(messages.encode(reply))
--- a/packages/registry/src/dykeswitch/registry/components.py
+++ b/packages/registry/src/dykeswitch/registry/components.py
@@ -16,7 +16,7 @@
 import dykeswitch.registry.reconfiguration as reconfigurations
 import dykeswitch.registry.replies as replies
 import dykeswitch.settings as settings
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 
 class Components:
@@ -24,65 +24,72 @@
 
     def __init__(
         self,
-        bounds: settings.Settings,
+        config: settings.Settings,
         machine: ports.Machine,
         log: logs.Log,
         rng: random.Random,
         adapter: adapters.Adapter,
     ) -> None:
-        self.bounds = bounds
+        self.config = config
         self.machine = machine
         self.log = log
         self.clock = machine.clock
         self.rng = rng
         self.adapter = adapter
-        self.line = timeline.Timeline(bounds.name, self.clock, bounds.forget_s)
-        self.marks = timeline.Marks(self.line, bounds.mark_s)
-        self.meter = frames.Tally()
-        self.caller = frames.Caller(machine.net, self.meter)
-        self.spread = self._spread()
-        self.boot = f"{rng.getrandbits(32):08x}"
+        self.timeline = timelines.Timeline(config.name, self.clock, config.forget_s)
+        self.marks = timelines.Marks(self.timeline, config.mark_s)
+        self.meter = frames.CallCounters()
+        self.call_client = frames.CallClient(machine.net, self.meter)
+        self.gossip = self._gossip()
+        self.boot_id = f"{rng.getrandbits(32):08x}"
         self.proposer = proposers.Proposer(
-            f"{bounds.name}/{self.boot}", self.caller, self.clock, machine.points, bounds.call_s, rng
+            f"{config.name}/{self.boot_id}",
+            self.call_client,
+            self.clock,
+            machine.fault_points,
+            config.call_timeout_s,
+            rng,
         )
-        self.publisher = publishers.Publisher(bounds, log, adapter, self.line, self.caller, self.proposer)
-        self.endpoints = endpoints.Endpoints(bounds, self.clock, self.line)
-        self.duties = duties.Duties(bounds.name, self.boot, bounds, self.line, self.proposer)
-        self.lender = lenders.Lender(bounds, self.clock, self.duties)
+        self.publisher = publishers.Publisher(
+            config, log, adapter, self.timeline, self.call_client, self.proposer
+        )
+        self.endpoints = endpoints.Endpoints(config, self.clock, self.timeline)
+        self.duties = duties.Duties(config.name, self.boot_id, config, self.timeline, self.proposer)
+        self.lender = lenders.Lender(config, self.clock, self.duties)
         self.prober = self._prober()
         self.reconfiguration = reconfigurations.Reconfiguration(
-            bounds.name, bounds, machine, self.caller, self.proposer, log.note
+            config.name, config, machine, self.call_client, self.proposer, log.note
         )
         self.replies = replies.Replies(
-            self.line,
+            self.timeline,
             self.marks,
-            self.spread.wall,
+            self.gossip.wall,
             lambda: self.publisher.layout,
             lambda: self.publisher.pauses,
         )
 
-    def _spread(self) -> membership.Spread:
-        bounds = self.bounds
-        return membership.Spread(
-            membership.Member(bounds.name, "registry", ports.address_of(bounds.member)),
-            self.line,
+    def _gossip(self) -> membership.Gossip:
+        config = self.config
+        return membership.Gossip(
+            membership.Member(config.name, "registry", ports.address_of(config.member)),
+            self.timeline,
             self.machine,
-            self.caller,
+            self.call_client,
             self.rng,
-            bounds.shuffle_s,
-            bounds.call_s,
-            bounds.hold_s,
-            bounds.seeds,
+            config.shuffle_s,
+            config.call_timeout_s,
+            config.hold_s,
+            config.seeds,
             self.log.note,
-            bounds.zone,
+            config.zone,
         )
 
     def _prober(self) -> probers.Prober:
         return probers.Prober(
-            self.bounds.name,
-            self.bounds,
+            self.config.name,
+            self.config,
             self.machine,
-            self.line,
+            self.timeline,
             self.marks,
             self.duties,
             self.publisher.probe_path,
@@ -91,4 +98,4 @@
 
     def live(self) -> list[str]:
         """Registries known to be alive, ourselves among them."""
-        return sorted({self.bounds.name, *self.spread.cores()})
+        return sorted({self.config.name, *self.gossip.cores()})
--- a/packages/registry/src/dykeswitch/registry/duties.py
+++ b/packages/registry/src/dykeswitch/registry/duties.py
@@ -10,7 +10,7 @@
 import dykeswitch.register as register
 import dykeswitch.register.proposer as proposers
 import dykeswitch.settings as settings
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 import dykeswitch.timeline.slots as slotted
 
 KEY: typing.Final = "duties"
@@ -37,16 +37,16 @@
     def __init__(
         self,
         name: str,
-        boot: str,
-        bounds: settings.Settings,
-        line: timeline.Timeline,
+        boot_id: str,
+        config: settings.Settings,
+        timeline: timelines.Timeline,
         proposer: proposers.Proposer,
     ) -> None:
         self._name = name
-        self._owner = f"{name}/{boot}"
-        self._bounds = bounds
-        self._line = line
-        self._clock = line.clock
+        self._owner = f"{name}/{boot_id}"
+        self._config = config
+        self._timeline = timeline
+        self._clock = timeline.clock
         self._proposer = proposer
         self._ops = 0
         self._holds: dict[int, Hold] = {}
@@ -55,7 +55,7 @@
 
     def fence(self, slot: int) -> int | None:
         """Our fence for a slot, if it is ours as far as we know."""
-        entry = self._line.get(timeline.FENCE, str(slot))
+        entry = self._timeline.get(timelines.FENCE, str(slot))
         if entry is None or entry.fields["owner"] != self._owner:
             return None
         return int(entry.fields["fence"])
@@ -63,21 +63,21 @@
     def hold(self, slot: int) -> Hold | None:
         """A slot that is surely ours: a majority said so lately, and nobody is known to say else."""
         hold = self._holds.get(slot)
-        if hold is None or self._clock.now() - hold.sure > self._bounds.fence_s:
+        if hold is None or self._clock.now() - hold.sure > self._config.fence_max_age_s:
             return None
         return hold if self.fence(slot) == hold.fence else None
 
     def owners(self) -> dict[int, tuple[str, int]]:
         return {
             int(e.key): (str(e.fields["owner"]), int(e.fields["fence"]))
-            for e in self._line.all(timeline.FENCE)
+            for e in self._timeline.all(timelines.FENCE)
         }
 
-    async def tend(self, live: typing.Collection[str]) -> None:
+    async def reconcile(self, live: typing.Collection[str]) -> None:
         """Claim the slots that fall to us and are another's, or nobody's."""
         begun = self._clock.now()
         result = await self._proposer.read(KEY)
-        if isinstance(result, outcome.Bad):
+        if isinstance(result, outcome.Failure):
             return
         self.publish(result.value, begun)
         book = cbor2.loads(result.value.body) if result.value.body else {}
@@ -104,7 +104,7 @@
         # One registry has two parts and we none: we take one, if no other is on the move.
         calm = self._clock.now() - max(self._moved.get(s, (0, -1e9))[1] for s in slots)
         twice = [s for s in slots if list(names.values()).count(names[s]) > 1]
-        return twice[-1:] if calm > self._bounds.inherit_s else []
+        return twice[-1:] if calm > self._config.takeover_wait_s else []
 
     async def _claim(self, slots: dict[int, str]) -> None:
         """Claim slots from those who have them, unless somebody else was faster."""
@@ -113,8 +113,8 @@
         begun = self._clock.now()
         seen = {slot: fence for slot, (_, fence) in self.owners().items()}
 
-        def step(now: register.Value) -> register.Value | outcome.Bad:
-            if now.made(op) is not None:
+        def step(now: register.Value) -> register.Value | outcome.Failure:
+            if now.version_of(op) is not None:
                 return now
             book = cbor2.loads(now.body) if now.body else {}
             for slot, old in slots.items():
@@ -122,10 +122,10 @@
                 if owner == old:
                     # Higher than any that is still told of, also where the register began anew.
                     book[slot] = [self._owner, max(fence, seen.get(slot, 0)) + 1]
-            return now.next(cbor2.dumps(book), op)
+            return now.successor(cbor2.dumps(book), op)
 
         result = await self._proposer.change(KEY, step)
-        if isinstance(result, outcome.Good):
+        if isinstance(result, outcome.Success):
             self.publish(result.value, begun)
 
     def publish(self, value: register.Value, begun: float) -> None:
@@ -134,10 +134,10 @@
             return
         now = self._clock.now()
         for slot, (owner, fence) in cbor2.loads(value.body).items():
-            held = self._line.get(timeline.FENCE, str(slot))
+            held = self._timeline.get(timelines.FENCE, str(slot))
             if held is None or int(held.fields["fence"]) < int(fence):
                 fields = {"owner": owner, "fence": int(fence)}
-                self._line.write(timeline.FENCE, str(slot), fields, self._bounds.forget_s)
+                self._timeline.write(timelines.FENCE, str(slot), fields, self._config.forget_s)
             if self._moved.get(slot, (0, 0.0))[0] != fence:
                 self._moved[slot] = (int(fence), now)
             if owner != self._owner:
--- a/packages/registry/src/dykeswitch/registry/endpoints.py
+++ b/packages/registry/src/dykeswitch/registry/endpoints.py
@@ -6,7 +6,7 @@
 import dykeswitch.outcome as outcome
 import dykeswitch.ports as ports
 import dykeswitch.settings as settings
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 # Beats an endpoint may miss before it is taken for gone, and a half for the road.
 MISSED: typing.Final = 3.5
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Beat:
+class Heartbeat:
     """What an endpoint says of itself."""
 
     name: str
@@ -68,10 +68,10 @@
     return found
 
 
-def read_beat(raw: object) -> outcome.Good[Beat] | outcome.Bad:
+def read_heartbeat(raw: object) -> outcome.Success[Heartbeat] | outcome.Failure:
     """A beat out of JSON, or every fault in it."""
     if not isinstance(raw, dict):
-        return outcome.bad("bad_beat", faults=("beat: must be an object",))
+        return outcome.failure("bad_beat", faults=("beat: must be an object",))
     faults: list[str] = []
     for key in raw:
         if key not in KEYS:
@@ -106,9 +106,9 @@
     if isinstance(interval, bool) or not isinstance(interval, (int, float)) or not 0 < interval <= 60:
         faults.append("interval_s: must be a number over 0 and up to 60")
     if faults:
-        return outcome.bad("bad_beat", faults=tuple(faults))
-    return outcome.Good(
-        Beat(
+        return outcome.failure("bad_beat", faults=tuple(faults))
+    return outcome.Success(
+        Heartbeat(
             str(raw["id"]),
             str(raw.get("service", "")),
             str(address or ""),
@@ -127,10 +127,10 @@
 class Endpoints:
     """Takes beats and lapses the silent."""
 
-    def __init__(self, bounds: settings.Settings, clock: ports.Clock, line: timeline.Timeline) -> None:
-        self._bounds = bounds
+    def __init__(self, config: settings.Settings, clock: ports.Clock, timeline: timelines.Timeline) -> None:
+        self._config = config
         self._clock = clock
-        self._line = line
+        self._timeline = timeline
         # When we last saw a beat of an id, by whatever way it came.
         self._seen: dict[str, float] = {}
         self._own: dict[str, float] = {}
@@ -138,65 +138,69 @@
         self._counts: dict[str, int] = {}
         # Ids heard since the other registries were last told.
         self._fresh: set[str] = set()
-        line.on_change(self._on_entry)
+        timeline.on_change(self._on_entry)
 
-    def _on_entry(self, entry: timeline.Entry) -> None:
-        if entry.kind != timeline.ENDPOINT:
+    def _on_entry(self, entry: timelines.Entry) -> None:
+        if entry.kind != timelines.ENDPOINT:
             return
         now = self._clock.now()
         state = entry.fields["state"]
-        if state == timeline.UP:
+        if state == timelines.UP:
             self._seen[entry.key] = now
-        elif state == timeline.LAPSED:
+        elif state == timelines.LAPSED:
             heard = self._own.get(entry.key)
             # Another registry heard nothing, but we did: the endpoint is there.
             if heard is not None and now - heard < self._grace(entry):
-                fields = {**entry.fields, "state": timeline.UP}
-                self._line.write(timeline.ENDPOINT, entry.key, fields, self._bounds.forget_s)
+                fields = {**entry.fields, "state": timelines.UP}
+                self._timeline.write(timelines.ENDPOINT, entry.key, fields, self._config.forget_s)
         else:
             self._seen.pop(entry.key, None)
             self._own.pop(entry.key, None)
             self._counts.pop(entry.key, None)
 
-    def _grace(self, entry: timeline.Entry) -> float:
+    def _grace(self, entry: timelines.Entry) -> float:
         return float(entry.fields.get("interval", 2.0)) * MISSED
 
-    def beat(self, beat: Beat) -> outcome.Good[dict[str, object]] | outcome.Bad:
+    def record_heartbeat(self, heartbeat: Heartbeat) -> outcome.Success[dict[str, object]] | outcome.Failure:
         """Take a beat; the reply says when to beat again."""
-        old = self._line.get(timeline.ENDPOINT, beat.name)
-        if beat.leaving or beat.draining:
+        old = self._timeline.get(timelines.ENDPOINT, heartbeat.name)
+        if heartbeat.leaving or heartbeat.draining:
             # An id we never heard of may have been heard elsewhere: it leaves all the same.
-            fields = dict(old.fields) if old is not None else self._fields(beat, [0, ""])
-            if fields["state"] not in timeline.STICKY:
-                fields["state"] = timeline.LEFT
-                self._line.write(timeline.ENDPOINT, beat.name, fields, self._bounds.forget_s)
-            return outcome.Good({"left": True})
-        if old is not None and old.fields["state"] in timeline.STICKY:
-            return outcome.bad("beat_gone", f"{beat.name} {old.fields['state']}")
+            fields = dict(old.fields) if old is not None else self._fields(heartbeat, [0, ""])
+            if fields["state"] not in timelines.FINAL_STATES:
+                fields["state"] = timelines.LEFT
+                self._timeline.write(timelines.ENDPOINT, heartbeat.name, fields, self._config.forget_s)
+            return outcome.Success({"left": True})
+        if old is not None and old.fields["state"] in timelines.FINAL_STATES:
+            return outcome.failure("beat_gone", f"{heartbeat.name} {old.fields['state']}")
         now = self._clock.now()
         # One that was overtaken on its way says nothing of today.
-        if beat.count is not None:
-            if beat.count < self._counts.get(beat.name, 0):
-                return outcome.Good({"late": True})
-            self._counts[beat.name] = beat.count
-        moved = old is None or old.fields["address"] != beat.address or old.fields["service"] != beat.service
+        if heartbeat.count is not None:
+            if heartbeat.count < self._counts.get(heartbeat.name, 0):
+                return outcome.Success({"late": True})
+            self._counts[heartbeat.name] = heartbeat.count
+        moved = (
+            old is None
+            or old.fields["address"] != heartbeat.address
+            or old.fields["service"] != heartbeat.service
+        )
         fresh = moved or old is None or "remembered" in old.fields
-        born = list(self._line.stamp()) if fresh or old is None else old.fields["born"]
-        fields = self._fields(beat, born)
+        born = list(self._timeline.stamp()) if fresh or old is None else old.fields["born"]
+        fields = self._fields(heartbeat, born)
         urgent = old is None or any(
             old.fields[k] != fields[k] for k in ("state", "service", "address", "zone")
         )
-        self._own[beat.name] = self._seen[beat.name] = now
-        self._fresh.add(beat.name)
+        self._own[heartbeat.name] = self._seen[heartbeat.name] = now
+        self._fresh.add(heartbeat.name)
         # That it is there still is between registries; only what has changed goes to all, and
         # what would be forgotten for want of news.
         if urgent or old is None or self._worn(old, fields):
-            self._line.write(timeline.ENDPOINT, beat.name, fields, self._bounds.forget_s, urgent)
-        return outcome.Good({"beat_again_s": min(beat.interval_s, self._bounds.dead_s)})
+            self._timeline.write(timelines.ENDPOINT, heartbeat.name, fields, self._config.forget_s, urgent)
+        return outcome.Success({"beat_again_s": min(heartbeat.interval_s, self._config.dead_after_s)})
 
-    def _worn(self, old: timeline.Entry, fields: timeline.Fields) -> bool:
+    def _worn(self, old: timelines.Entry, fields: timelines.Fields) -> bool:
         """Whether an entry should be written again, though nothing urgent has changed."""
-        if old.expiry - self._clock.now() < self._bounds.forget_s / 2 or "remembered" in old.fields:
+        if old.expiry - self._clock.now() < self._config.forget_s / 2 or "remembered" in old.fields:
             return True
         if old.fields.get("slots") != fields.get("slots"):
             return True
@@ -204,16 +208,16 @@
 
     # What the register remembers, for the day when every machine forgets at once.
 
-    def table(self) -> list[timeline.Fields]:
+    def table(self) -> list[timelines.Fields]:
         """Every endpoint that beats, by name: what a start from nothing begins with."""
         found = []
-        for entry in sorted(self._line.all(timeline.ENDPOINT), key=lambda e: e.key):
-            if entry.fields["state"] == timeline.UP and "remembered" not in entry.fields:
-                kept: timeline.Fields = {k: entry.fields[k] for k in TABLE if k in entry.fields}
+        for entry in sorted(self._timeline.all(timelines.ENDPOINT), key=lambda e: e.key):
+            if entry.fields["state"] == timelines.UP and "remembered" not in entry.fields:
+                kept: timelines.Fields = {k: entry.fields[k] for k in TABLE if k in entry.fields}
                 found.append({**kept, "id": entry.key})
         return found
 
-    def remember(self, table: typing.Iterable[timeline.Fields]) -> int:
+    def remember(self, table: typing.Iterable[timelines.Fields]) -> int:
         """Take up endpoints that nobody has told of yet, for no longer than a beat and a half.
 
         Which of them left meanwhile is not known: a request names its endpoint, so that another
@@ -222,48 +226,48 @@
         taken = 0
         for row in table:
             name = str(row["id"])
-            if self._line.get(timeline.ENDPOINT, name) is not None:
+            if self._timeline.get(timelines.ENDPOINT, name) is not None:
                 continue
-            fields: timeline.Fields = {k: row[k] for k in TABLE if k in row}
-            fields.update(state=timeline.UP, load=0.0, remembered=True, born=[0, self._line.name])
+            fields: timelines.Fields = {k: row[k] for k in TABLE if k in row}
+            fields.update(state=timelines.UP, load=0.0, remembered=True, born=[0, self._timeline.name])
             span = float(fields.get("interval", 2.0)) * REMEMBERED
-            if self._line.write(timeline.ENDPOINT, name, fields, span) is not None:
+            if self._timeline.write(timelines.ENDPOINT, name, fields, span) is not None:
                 taken += 1
         return taken
 
-    def told(self) -> list[str]:
+    def recently_heard(self) -> list[str]:
         """Ids heard since this was last asked."""
         fresh, self._fresh = sorted(self._fresh), set()
         return fresh
 
-    def heard(self, names: typing.Iterable[str]) -> None:
+    def heard_elsewhere(self, names: typing.Iterable[str]) -> None:
         """Another registry heard these a moment ago."""
         now = self._clock.now()
         for name in names:
             if name in self._seen:
                 self._seen[name] = now
 
-    def _fields(self, beat: Beat, born: list[typing.Any]) -> timeline.Fields:
+    def _fields(self, heartbeat: Heartbeat, born: list[typing.Any]) -> timelines.Fields:
         return {
-            "service": beat.service,
-            "address": beat.address,
-            "zone": beat.zone,
-            "burden": beat.load,
-            "interval": beat.interval_s,
-            "state": timeline.UP,
+            "service": heartbeat.service,
+            "address": heartbeat.address,
+            "zone": heartbeat.zone,
+            "burden": heartbeat.load,
+            "interval": heartbeat.interval_s,
+            "state": timelines.UP,
             "born": born,
-            **({"slots": beat.slots} if beat.slots is not None else {}),
-            **({"warm": beat.warm_s} if beat.warm_s else {}),
+            **({"slots": heartbeat.slots} if heartbeat.slots is not None else {}),
+            **({"warm": heartbeat.warm_s} if heartbeat.warm_s else {}),
         }
 
-    def lapse(self, whole: bool = True) -> list[str]:
+    def expire_silent(self, whole: bool = True) -> list[str]:
         """Take the silent for gone; returns whom.
 
         Unless the whole of the cores is heard, only those that were ours to hear: the rest may
         beat to a core that can't tell us.
         """
         now = self._clock.now()
-        up = [e for e in self._line.all(timeline.ENDPOINT) if e.fields["state"] == timeline.UP]
+        up = [e for e in self._timeline.all(timelines.ENDPOINT) if e.fields["state"] == timelines.UP]
         if not whole:
             up = [e for e in up if e.key in self._own and self._own[e.key] >= self._seen.get(e.key, now)]
         silent = [e for e in up if now - self._seen.get(e.key, now) > self._grace(e)]
@@ -271,11 +275,11 @@
         if len(silent) == len(up) and len(up) > 1:
             return []
         for entry in silent:
-            fields = {**entry.fields, "state": timeline.LAPSED}
-            self._line.write(timeline.ENDPOINT, entry.key, fields, self._bounds.forget_s)
+            fields = {**entry.fields, "state": timelines.LAPSED}
+            self._timeline.write(timelines.ENDPOINT, entry.key, fields, self._config.forget_s)
         return [e.key for e in silent]
 
-    def woke(self) -> None:
+    def resumed(self) -> None:
         """After a freeze of our own, silence proves nothing: count from now."""
         now = self._clock.now()
         self._seen = dict.fromkeys(self._seen, now)
--- a/packages/registry/src/dykeswitch/registry/lender.py
+++ b/packages/registry/src/dykeswitch/registry/lender.py
@@ -87,8 +87,8 @@
 class Lender:
     """Lends for the services of the slots that are ours."""
 
-    def __init__(self, bounds: settings.Settings, clock: ports.Clock, duty: duties.Duties) -> None:
-        self._bounds = bounds
+    def __init__(self, config: settings.Settings, clock: ports.Clock, duty: duties.Duties) -> None:
+        self._config = config
         self._clock = clock
         self._duty = duty
         self._books: dict[int, Book] = {}
@@ -97,12 +97,12 @@
         self.refused = 0
         self.passed_over = 0
 
-    def kinds(self) -> dict[str, frames.Handle]:
+    def kinds(self) -> dict[str, frames.Handler]:
         return {"borrow": self._on_borrow, "loans": self._on_loans}
 
     def part(self, part: int) -> int:
         """How many coins of a service's floor one part has."""
-        whole = int(self._bounds.extra_floor * LENT_PART)
+        whole = int(self._config.extra_floor * LENT_PART)
         return (whole + slots.PARTS - 1 - part) // slots.PARTS
 
     async def _on_borrow(self, body: frames.Body) -> frames.Result:
@@ -110,7 +110,7 @@
         asks = [read_ask(raw) for raw in body["asks"]]
         # From here to the answer nothing waits: what was sure of the fence is so still.
         loans = [self._loan(who, turn, ask) for ask in asks]
-        return outcome.Good({"span": self._bounds.loan_s, "loans": loans})
+        return outcome.Success({"span": self._config.loan_duration_s, "loans": loans})
 
     def _loan(self, who: str, turn: int, ask: Ask) -> list[int]:
         """The coins lent and the fence; nothing at all if it is not ours to say."""
@@ -132,7 +132,7 @@
             return []
         account.turn, account.asked, account.want = turn, now, ask.want
         account.cut(ask.bound, now)
-        until = now + self._bounds.loan_s + self._bounds.lapse_s
+        until = now + self._config.loan_duration_s + self._config.loan_lapse_s
         coins = 0
         if ask.want != NOTHING:
             coins = self._coins(storage, who, account, ask, now, self._waits(hold) > 0)
@@ -143,14 +143,14 @@
             self.refused += 1
         account.got = coins
         storage[who] = account
-        _clear(book, ask.service, now, self._bounds.loan_s)
+        _clear(book, ask.service, now, self._config.loan_duration_s)
         return [coins, hold.fence]
 
     def _waits(self, hold: duties.Hold) -> float:
         """How long until nothing can be out that the slot's owner before us lent."""
         if hold.fence == 1:
             return 0.0
-        return max(0.0, hold.since + self._bounds.inherit_s - self._clock.now())
+        return max(0.0, hold.since + self._config.takeover_wait_s - self._clock.now())
 
     def _coins(
         self, storage: dict[str, Account], who: str, account: Account, ask: Ask, now: float, waits: bool
@@ -161,12 +161,12 @@
             lent = min(ask.lent, self.part(ask.part))
             if who in storage:
                 return min(lent, account.out(now))
-            account.put(ask.bound, now + self._bounds.lapse_s)
+            account.put(ask.bound, now + self._config.loan_lapse_s)
             return lent
         whole = self.part(ask.part)
         others = {name: a for name, a in storage.items() if name != who}
         out = sum(a.out(now) for a in others.values())
-        pressed = [a for a in others.values() if a.pressed(now, self._bounds.loan_s)]
+        pressed = [a for a in others.values() if a.pressed(now, self._config.loan_duration_s)]
         share = max(1, whole // (len(pressed) + 1))
         short = any(a.got < min(a.want, share) for a in pressed)
         if ask.want == QUIET:
@@ -181,15 +181,15 @@
         have = min(account.out(now), most)
         return min(ask.want, have + (most - have + 1) // 2)
 
-    def tidy(self) -> None:
+    def remove_expired(self) -> None:
         """Let go of what is over, also for services that nobody asks for any more."""
         now = self._clock.now()
         for book in self._books.values():
             for service in list(book.services):
-                _clear(book, service, now, self._bounds.loan_s)
+                _clear(book, service, now, self._config.loan_duration_s)
 
     async def _on_loans(self, body: frames.Body) -> frames.Result:
-        return outcome.Good({"rows": self.rows()})
+        return outcome.Success({"rows": self.rows()})
 
     def rows(self) -> list[list[typing.Any]]:
         """For each service and part: lender, fence, borrowers, lent now, out, coins in all, wait left."""
@@ -203,13 +203,13 @@
             for service, storage in sorted(book.services.items()):
                 outs = [a.out(now) for a in storage.values()]
                 lent = [
-                    max((c for c, until in a.outs if until - self._bounds.lapse_s > now), default=0)
+                    max((c for c, until in a.outs if until - self._config.loan_lapse_s > now), default=0)
                     for a in storage.values()
                 ]
                 wait = round(self._waits(hold), 1)
                 many = sum(1 for n in lent if n)
                 sums = [sum(lent), sum(outs), self.part(part)]
-                found.append([service, part, self._bounds.name, book.fence, many, *sums, wait])
+                found.append([service, part, self._config.name, book.fence, many, *sums, wait])
         return found
 
     def sums(self) -> tuple[int, int]:
--- a/packages/registry/src/dykeswitch/registry/order_memory.py
+++ b/packages/registry/src/dykeswitch/registry/order_memory.py
@@ -46,7 +46,7 @@
         floor = max([self.floor, *(known for known, _ in evicted)])
         return Ledger(floor, tuple(kept))
 
-    def wire(self) -> list[typing.Any]:
+    def to_wire(self) -> list[typing.Any]:
         """This ledger as it stands in the packed memory."""
         return [self.floor, b"".join(ENTRY.pack(number, digest) for number, digest in self.digests)]
 
@@ -65,7 +65,7 @@
 
     def pack(self) -> bytes:
         """The memory as the register holds it."""
-        return cbor2.dumps([self.by_number.wire(), self.by_version.wire()])
+        return cbor2.dumps([self.by_number.to_wire(), self.by_version.to_wire()])
 
 
 def read(packed: bytes, version: int) -> OrderMemory:
--- a/packages/registry/src/dykeswitch/registry/order_rules.py
+++ b/packages/registry/src/dykeswitch/registry/order_rules.py
@@ -27,9 +27,9 @@
     match: int | None = None
 
 
-def decide(now: register.Value, order: Order, held: int | None) -> register.Value | outcome.Bad:
+def decide(now: register.Value, order: Order, held: int | None) -> register.Value | outcome.Failure:
     """The value that should stand after an order; `held` is the number of the one that stands."""
-    if now.made(order.operation) is not None:
+    if now.version_of(order.operation) is not None:
         return now
     memory = order_memory.read(now.memory, now.version)
     if order.number is not None:
@@ -39,7 +39,7 @@
 
 def confirmed_version(value: register.Value, order: Order) -> int:
     """The register version that a confirmed order made, or the newest if it made none."""
-    made = value.made(order.operation)
+    made = value.version_of(order.operation)
     if made is not None:
         return made
     if order.number is None and order.match is not None:
@@ -66,12 +66,12 @@
     number: int,
     memory: order_memory.OrderMemory,
     held: int | None,
-) -> register.Value | outcome.Bad:
+) -> register.Value | outcome.Failure:
     confirmed = memory.by_number.digest(number)
     if confirmed is not None:
         if confirmed == order.digest:
             return now
-        return outcome.bad("number_taken", f"another layout was confirmed as {number}")
+        return outcome.failure("number_taken", f"another layout was confirmed as {number}")
     superseded = held is not None and number < held
     if superseded and not memory.by_number.knows(number):
         return now
@@ -81,13 +81,13 @@
         # It is acknowledged, so no other body may be from now on.
         return dataclasses.replace(now, memory=packed)
     if order.match is not None and order.match != now.version:
-        return outcome.bad("lost_race", f"newest is {now.version}")
-    return now.next(order.body, order.operation, packed)
+        return outcome.failure("lost_race", f"newest is {now.version}")
+    return now.successor(order.body, order.operation, packed)
 
 
 def _unnumbered(
     now: register.Value, order: Order, memory: order_memory.OrderMemory, held: int | None
-) -> register.Value | outcome.Bad:
+) -> register.Value | outcome.Failure:
     if now.body == order.body:
         return now
     if order.match is not None and order.match < now.version:
@@ -95,11 +95,11 @@
         if memory.by_version.digest(made) == order.digest:
             return now
         if not memory.by_version.knows(made):
-            return outcome.bad("too_old", f"of version {made} nothing is remembered")
+            return outcome.failure("too_old", f"of version {made} nothing is remembered")
     if held is not None:
-        return outcome.bad("lost_race", f"layouts are numbered; the newest is {held}")
+        return outcome.failure("lost_race", f"layouts are numbered; the newest is {held}")
     if order.match is not None and order.match != now.version:
-        return outcome.bad("lost_race", f"newest is {now.version}")
+        return outcome.failure("lost_race", f"newest is {now.version}")
     ledger = memory.by_version.with_entry(now.version + 1, order.digest)
     packed = dataclasses.replace(memory, by_version=ledger).pack()
-    return now.next(order.body, order.operation, packed)
+    return now.successor(order.body, order.operation, packed)
--- a/packages/registry/src/dykeswitch/registry/pages.py
+++ b/packages/registry/src/dykeswitch/registry/pages.py
@@ -6,7 +6,7 @@
 import dykeswitch.registry.components as components
 import dykeswitch.registry.member_calls as member_calls
 import dykeswitch.registry.replies as replies
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 Document = dict[str, typing.Any]
 
@@ -18,8 +18,8 @@
         self._parts = parts
         self._members = members
 
-    def _endpoint_entries(self) -> list[timeline.Entry]:
-        return sorted(self._parts.line.all(timeline.ENDPOINT), key=lambda entry: entry.key)
+    def _endpoint_entries(self) -> list[timelines.Entry]:
+        return sorted(self._parts.timeline.all(timelines.ENDPOINT), key=lambda entry: entry.key)
 
     def counters(self) -> bytes:
         """This registry's counters, in the text form of Prometheus."""
@@ -27,7 +27,7 @@
         import dykeswitch.logs.counters as counters
 
         parts = self._parts
-        up = [e for e in parts.line.all(timeline.ENDPOINT) if e.fields["state"] == timeline.UP]
+        up = [e for e in parts.timeline.all(timelines.ENDPOINT) if e.fields["state"] == timelines.UP]
         lent, out = parts.lender.sums()
         counts = {
             "coins_lent": lent,
@@ -36,19 +36,19 @@
             "loans_refused": parts.lender.refused,
             "loans_passed_over": parts.lender.passed_over,
             "probes": parts.prober.probes,
-            "copies_mended": parts.proposer.mended,
+            "copies_mended": parts.proposer.repaired,
             "endpoints_up": len(up),
-            "endpoints_down": sum(1 for e in up if parts.marks.down(e.key) is not None),
+            "endpoints_down": sum(1 for e in up if parts.marks.mark_of(e.key) is not None),
             "member_set_epoch": parts.proposer.members.epoch,
             **parts.meter.counts,
         }
-        return counters.page("registry", parts.bounds.name, counts)
+        return counters.page("registry", parts.config.name, counts)
 
     def endpoints(self) -> Document:
         """Every endpoint with what it said of itself, and its mark."""
         found = []
         for entry in self._endpoint_entries():
-            mark = self._parts.marks.down(entry.key)
+            mark = self._parts.marks.mark_of(entry.key)
             page: Document = {"id": entry.key}
             page.update((k, v) for k, v in entry.fields.items() if k != "born")
             if mark is not None:
@@ -63,12 +63,12 @@
         members = parts.proposer.members
         states = parts.reconfiguration.states
         return {
-            "cores": {e.key: e.fields for e in parts.line.all(timeline.CORE)},
-            "proxies": {e.key: e.fields for e in parts.line.all(timeline.PROXY)},
-            "view": sorted(parts.spread.view),
+            "cores": {e.key: e.fields for e in parts.timeline.all(timelines.CORE)},
+            "proxies": {e.key: e.fields for e in parts.timeline.all(timelines.PROXY)},
+            "view": sorted(parts.gossip.view),
             "stores": {
                 "epoch": members.epoch,
-                "joint": members.joint(),
+                "joint": members.is_joint(),
                 "groups": [dict(group) for group in members.groups],
                 "seen": {d: {"spot": s.address, "seated": s.seated} for d, s in states.items()},
             },
@@ -81,7 +81,7 @@
         probed = await self._probed_ago()
         services: dict[str, dict[str, list[Document]]] = {}
         for entry in self._endpoint_entries():
-            if entry.fields["state"] in timeline.STICKY:
+            if entry.fields["state"] in timelines.FINAL_STATES:
                 continue
             page = services.setdefault(str(entry.fields["service"]), {"healthy": [], "unhealthy": []})
             row = self._health_row(entry, probed.get(entry.key))
@@ -97,16 +97,16 @@
                 ago[name] = min(ago.get(name, span), span)
         return ago
 
-    def _health_row(self, entry: timeline.Entry, probed_ago: float | None) -> Document:
-        mark = self._parts.marks.down(entry.key)
-        wall = self._parts.spread.wall()
+    def _health_row(self, entry: timelines.Entry, probed_ago: float | None) -> Document:
+        mark = self._parts.marks.mark_of(entry.key)
+        wall = self._parts.gossip.wall()
         row: Document = {
             "id": entry.key,
             "address": entry.fields["address"],
             "zone": entry.fields["zone"],
             "lastChecked": None if probed_ago is None else replies.stamp(wall - probed_ago),
         }
-        if entry.fields["state"] == timeline.LAPSED:
+        if entry.fields["state"] == timelines.LAPSED:
             row["reason"] = "beats stopped"
         elif mark is not None:
             row["reason"] = mark.fields["reason"]
--- a/packages/registry/src/dykeswitch/registry/program.py
+++ b/packages/registry/src/dykeswitch/registry/program.py
@@ -27,23 +27,23 @@
 
     def __init__(
         self,
-        bounds: settings.Settings,
+        config: settings.Settings,
         machine: ports.Machine,
         log: logs.Log,
         rng: random.Random,
         adapter: adapters.Adapter | None = None,
     ) -> None:
-        self.bounds = bounds
+        self.config = config
         self.machine = machine
         self.log = log
         self.clock = machine.clock
-        self.parts = components.Components(bounds, machine, log, rng, adapter or adapters.Own())
-        self.line = self.parts.line
-        self.spread = self.parts.spread
+        self.parts = components.Components(config, machine, log, rng, adapter or adapters.DefaultAdapter())
+        self.timeline = self.parts.timeline
+        self.gossip = self.parts.gossip
         self.duties = self.parts.duties
         self.documents = self.parts.publisher.documents
         self.standing = standing.Standing(self.parts)
-        self.spread.backed = lambda: self.standing.unready() is None
+        self.gossip.has_quorum = lambda: self.standing.unready() is None
         self.heartbeats = heartbeats.Heartbeats(self.parts, self.standing)
         self.orders = orders.Orders(self.parts, self.standing)
         self.members = member_calls.MemberCalls(self.parts)
@@ -53,23 +53,23 @@
         self._stop = asyncio.Event()
         commands = queries.Queries(self.parts, self.members, planned.PlannedPauses(self.parts, self.standing))
         shown = pages.Pages(self.parts, self.members)
-        handlers = routes.Routes(bounds, log, self.standing, self.heartbeats, self.orders, commands, shown)
+        handlers = routes.Routes(config, log, self.standing, self.heartbeats, self.orders, commands, shown)
         self.app = handlers.application(self.parts.adapter.calls(self))
 
     # What an adapter may ask of the registry.
 
-    async def beat(self, raw: object) -> outcome.Good[dict[str, object]] | outcome.Bad:
+    async def heartbeat(self, raw: object) -> outcome.Success[dict[str, object]] | outcome.Failure:
         """Take a heartbeat in the product's own form."""
         return await self.heartbeats.beat(raw)
 
-    async def put(self, data: bytes) -> outcome.Good[int] | outcome.Bad:
+    async def put_layout(self, data: bytes) -> outcome.Success[int] | outcome.Failure:
         """Take a layout as it was sent; its version."""
         return await self.orders.put(data)
 
-    async def newest(self) -> outcome.Good[bytes] | outcome.Bad:
+    async def newest_layout(self) -> outcome.Success[bytes] | outcome.Failure:
         """The newest layout, as it was sent, from a majority."""
         found = await self.orders.newest()
-        return found if isinstance(found, outcome.Bad) else outcome.Good(found.value.body)
+        return found if isinstance(found, outcome.Failure) else outcome.Success(found.value.body)
 
     def ready(self) -> str | None:
         """Why this registry is not ready; nothing if it is."""
@@ -79,33 +79,33 @@
 
     async def run(self) -> None:
         """Serve until told to stop."""
-        bounds = self.bounds
+        config = self.config
         kinds = {**self.members.kinds(), **self.relay.kinds()}
-        ear = frames.Ear(kinds, self.log.note, self.parts.meter)
-        listener = await self.machine.net.listen(bounds.listen or bounds.member, ear.serve)
+        server = frames.CallServer(kinds, self.log.note, self.parts.meter)
+        listener = await self.machine.net.listen(config.listen or config.member, server.serve)
         try:
-            self._server = await self.machine.web.serve(bounds.web, self.app)
-            self.log.info("started", web=bounds.web, member=bounds.member)
+            self._server = await self.machine.web.serve(config.web, self.app)
+            self.log.info("started", web=config.web, member=config.member)
             async with asyncio.TaskGroup() as group:
                 loops = [*self.upkeep.loops(), self.relay.keep_fetched()]
                 tasks = [group.create_task(loop) for loop in loops]
                 await self._stop.wait()
                 self.standing.stopping = True
                 self.log.info("stopping")
-                await self.clock.sleep(bounds.lead_s)
-                await self._server.stop(max(1.0, bounds.grace_s - bounds.lead_s))
+                await self.clock.sleep(config.lead_s)
+                await self._server.stop(max(1.0, config.grace_s - config.lead_s))
                 for task in tasks:
                     task.cancel()
         finally:
             listener.close()
-            self.parts.caller.close()
+            self.parts.call_client.close()
         self.log.info("stopped")
 
     def stop(self) -> None:
         """Ask for an orderly stop."""
         self._stop.set()
 
-    def retold(self, bounds: settings.Settings) -> None:
+    def reload_settings(self, config: settings.Settings) -> None:
         """Take up changed settings, as far as a running program can: seeds; the rest at a start."""
-        self.parts.spread.reseed(bounds.seeds)
-        self.log.info("settings taken up", seeds=len(bounds.seeds))
+        self.parts.gossip.set_seeds(config.seeds)
+        self.log.info("settings taken up", seeds=len(config.seeds))
--- a/packages/registry/src/dykeswitch/registry/publisher.py
+++ b/packages/registry/src/dykeswitch/registry/publisher.py
@@ -12,7 +12,7 @@
 import dykeswitch.register as register
 import dykeswitch.register.proposer as proposers
 import dykeswitch.settings as settings
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 # How many proxies should hold a change before its operator is told.
 HANDED: typing.Final = 2
@@ -25,20 +25,20 @@
 
     def __init__(
         self,
-        bounds: settings.Settings,
+        config: settings.Settings,
         log: logs.Log,
         adapter: adapters.Adapter,
-        line: timeline.Timeline,
-        caller: frames.Caller,
+        timeline: timelines.Timeline,
+        call_client: frames.CallClient,
         proposer: proposers.Proposer,
     ) -> None:
-        self._bounds = bounds
+        self._config = config
         self._log = log
         self._adapter = adapter
-        self._line = line
-        self._clock = line.clock
+        self._timeline = timeline
+        self._clock = timeline.clock
         self._proposer = proposer
-        self.documents = documents.Documents(line, caller, bounds.call_s, self._reads)
+        self.documents = documents.Documents(timeline, call_client, config.call_timeout_s, self._reads)
         self.layout: layouts.Layout | None = None
         self.pauses: list[pauses.Pause] = []
         # The newest version of each document that a majority told us of, and when it did so first.
@@ -46,7 +46,7 @@
         # When a majority was last read.
         self.majority_at = NEVER
 
-    async def _reads(self, name: str, version: int, data: bytes) -> documents.Take | None:
+    async def _reads(self, name: str, version: int, data: bytes) -> documents.Apply | None:
         """Read a document while calls go on; what is handed back takes it up at once."""
         if name == documents.PAUSES:
             try:
@@ -56,17 +56,17 @@
                 return None
             return lambda: setattr(self, "pauses", planned)
         raw = self._adapter.layout(data)
-        result = raw if isinstance(raw, outcome.Bad) else await layouts.check_gently(raw.value)
-        if isinstance(result, outcome.Bad):
+        result = raw if isinstance(raw, outcome.Failure) else await layouts.check_cooperatively(raw.value)
+        if isinstance(result, outcome.Failure):
             self._log.error("layout refused", version=version, faults=result.faults[:5])
             return None
         layout = result.value
 
-        def take() -> None:
+        def apply() -> None:
             self.layout = layout
             self._log.info("layout taken up", version=version, rules=len(layout.rules))
 
-        return take
+        return apply
 
     def probe_path(self, service: str) -> str:
         """Where a service's endpoints are probed, if the layout says so."""
@@ -78,37 +78,37 @@
         """Name a confirmed version on the timeline, so that every proxy fetches it."""
         if not value.version:
             return
-        await self.documents.take(name, value.version, value.body)
+        await self.documents.apply(name, value.version, value.body)
         known, _ = self._confirmed.get(name, (0, NEVER))
         if value.version > known:
             self._confirmed[name] = (value.version, self._clock.now())
-        named = self._line.get(timeline.DOCUMENT, name)
-        forget_s = self._bounds.forget_s
+        named = self._timeline.get(timelines.DOCUMENT, name)
+        forget_s = self._config.forget_s
         if named is None or int(named.fields["version"]) < value.version:
-            self._line.write(timeline.DOCUMENT, name, {"version": value.version}, forget_s)
+            self._timeline.write(timelines.DOCUMENT, name, {"version": value.version}, forget_s)
         elif named.expiry - self._clock.now() < forget_s / 2:
-            self._line.write(timeline.DOCUMENT, name, dict(named.fields), forget_s, urgent=False)
+            self._timeline.write(timelines.DOCUMENT, name, dict(named.fields), forget_s, urgent=False)
 
-    async def read_documents(self) -> outcome.Bad | None:
+    async def read_documents(self) -> outcome.Failure | None:
         """Read the newest documents from a majority and name them."""
         for name in documents.NAMES:
             result = await self._proposer.read(name)
-            if isinstance(result, outcome.Bad):
+            if isinstance(result, outcome.Failure):
                 return result
             await self.publish(name, result.value)
         self.majority_at = self._clock.now()
         return None
 
-    async def handed(self, name: str, version: int) -> None:
+    async def wait_delivered(self, name: str, version: int) -> None:
         """Wait a moment until two proxies hold it, so that it spreads even if all cores go dark.
 
         The moment begins when we first knew of it: an order sent again later need not wait.
         """
-        proxies = len(self._line.all(timeline.PROXY))
+        proxies = len(self._timeline.all(timelines.PROXY))
         _, since = self._confirmed.get(name, (version, self._clock.now()))
-        end = since + self._bounds.gap_s
+        end = since + self._config.clock_gap_s
         while self._clock.now() < end:
-            got = self.documents.handed.get((name, version), set())
+            got = self.documents.delivered.get((name, version), set())
             if len(got) >= min(HANDED, proxies) or self.documents.version(name) > version:
                 return
-            await self._clock.sleep(self._bounds.gap_s / 100)
+            await self._clock.sleep(self._config.clock_gap_s / 100)
--- a/packages/registry/src/dykeswitch/registry/queries.py
+++ b/packages/registry/src/dykeswitch/registry/queries.py
@@ -12,7 +12,7 @@
 import dykeswitch.registry.planned as planned
 import dykeswitch.registry.replies as replies
 import dykeswitch.registry.votes as votes
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 LOAN_COLUMNS: typing.Final = (
     "service",
@@ -37,7 +37,7 @@
         self._members = members
         self._pauses = pauses
 
-    async def answer(self, ask: language.Command, by: str) -> replies.Table | outcome.Bad:
+    async def answer(self, ask: language.Command, by: str) -> replies.Table | outcome.Failure:
         """The table that a sentence asks for, after the change that it orders."""
         if isinstance(ask, language.Explain):
             return self._parts.replies.explain(ask)
@@ -49,12 +49,12 @@
             return await self._pauses.end(ask.pause)
         return await self._show(ask)
 
-    async def _show(self, ask: language.Show) -> replies.Table | outcome.Bad:
+    async def _show(self, ask: language.Show) -> replies.Table | outcome.Failure:
         if ask.subject == "pauses":
             # Planned pauses are told from a majority, not from memory.
-            bad = await self._parts.publisher.read_documents()
-            if bad is not None:
-                return bad
+            failure = await self._parts.publisher.read_documents()
+            if failure is not None:
+                return failure
         if ask.subject == "history":
             return await self._history(ask)
         if ask.subject == "loans":
@@ -84,18 +84,18 @@
         found = [row for book in books for row in book if ask.wants("service", str(row[0]))]
         return replies.Table(LOAN_COLUMNS, sorted(found))
 
-    async def _trail(self, name: str) -> replies.Table | outcome.Bad:
+    async def _trail(self, name: str) -> replies.Table | outcome.Failure:
         """Ask the proxy that carried an exchange what it did; its name begins with the proxy's."""
         parts = self._parts
         await self._hear_of_proxies()
-        entry = parts.line.get(timeline.PROXY, name.rsplit("-", 2)[0])
+        entry = parts.timeline.get(timelines.PROXY, name.rsplit("-", 2)[0])
         if entry is None or "spot" not in entry.fields:
-            return outcome.bad("no_such", f"no living proxy carried {name}")
+            return outcome.failure("no_such", f"no living proxy carried {name}")
         ask: frames.Body = {"exchange": name}
-        result = await parts.caller.ask(
-            ports.address_of(entry.fields["spot"]), "exchange", ask, parts.bounds.call_s
+        result = await parts.call_client.call(
+            ports.address_of(entry.fields["spot"]), "exchange", ask, parts.config.call_timeout_s
         )
-        if isinstance(result, outcome.Bad):
+        if isinstance(result, outcome.Failure):
             return result
         rows = [[round(at * 1000, 1), what, why] for at, what, why in result.value["trail"]]
         return replies.Table(("after ms", "what", "why"), rows)
@@ -103,13 +103,13 @@
     async def _hear_of_proxies(self) -> None:
         """Take up what proxies said of themselves to the registries that they poll, which are not all."""
         for page in await self._members.ask_others("proxies", {}):
-            self._parts.line.merge(page["items"])
+            self._parts.timeline.merge(page["items"])
 
     def _proxies(self, ask: language.Show) -> replies.Table:
         fields = ("zone", "web", "layout", "ready")
         rows = [
             [entry.key, *(entry.fields[field] for field in fields), entry.fields.get("extra", "")]
-            for entry in sorted(self._parts.line.all(timeline.PROXY), key=lambda entry: entry.key)
+            for entry in sorted(self._parts.timeline.all(timelines.PROXY), key=lambda entry: entry.key)
             if ask.wants("zone", str(entry.fields["zone"]))
         ]
         return replies.Table(("proxy", "zone", "address", "layout", "ready", "extra"), rows)
@@ -130,7 +130,7 @@
         """Registries that are heard, and the store of each disk."""
         rows = [
             [entry.key, "registry", entry.fields["zone"], entry.fields["web"], "live"]
-            for entry in sorted(self._parts.line.all(timeline.CORE), key=lambda entry: entry.key)
+            for entry in sorted(self._parts.timeline.all(timelines.CORE), key=lambda entry: entry.key)
         ]
         seated = self._parts.proposer.members.disks()
         states = self._parts.reconfiguration.states
--- a/packages/registry/src/dykeswitch/registry/reconfiguration.py
+++ b/packages/registry/src/dykeswitch/registry/reconfiguration.py
@@ -33,17 +33,17 @@
     def __init__(
         self,
         name: str,
-        bounds: settings.Settings,
+        config: settings.Settings,
         machine: ports.Machine,
-        caller: frames.Caller,
+        call_client: frames.CallClient,
         proposer: proposers.Proposer,
         note: typing.Callable[[str, str], None],
     ) -> None:
         self._name = name
-        self._bounds = bounds
+        self._config = config
         self._clock = machine.clock
-        self._points = machine.points
-        self._caller = caller
+        self._fault_points = machine.fault_points
+        self._call_client = call_client
         self._proposer = proposer
         self._note = note
         # Since when each voter has been silent.
@@ -53,9 +53,9 @@
         self.sites: dict[str, replicas.Site] = {}
         # What the stores that answered last told, by disk.
         self.states: dict[str, replicas.ReplicaState] = {}
-        self.tolerance = placement.Tolerance(bounds.cores_lost, bounds.zones_lost, bounds.regions_lost)
+        self.tolerance = placement.Tolerance(config.cores_lost, config.zones_lost, config.regions_lost)
 
-    async def tend(
+    async def reconcile(
         self,
         addresses: typing.Collection[str],
         live: typing.Collection[str],
@@ -75,10 +75,10 @@
             return
         if await self._behind():
             return
-        if not self._proposer.members.joint():
+        if not self._proposer.members.is_joint():
             await self._retire_replaced()
             await self._replace()
-        if self._proposer.members.joint():
+        if self._proposer.members.is_joint():
             await self._finish()
 
     def silent_s(self, disk: str) -> float:
@@ -108,13 +108,15 @@
     async def _look(self, addresses: typing.Collection[str]) -> None:
         known = {self._proposer.quorum.addresses.get(d, s) for d, s in self._proposer.members.disks().items()}
         # Founders that were replaced are not asked for ever.
-        founders = () if self._proposer.members.groups else self._bounds.founders
+        founders = () if self._proposer.members.groups else self._config.founders
         asked = sorted(known | {ports.address_of(told) for told in (*addresses, *founders)})
-        wait = self._bounds.state_wait_s
-        results = await asyncio.gather(*(self._caller.ask(address, "state", {}, wait) for address in asked))
+        wait = self._config.state_wait_s
+        results = await asyncio.gather(
+            *(self._call_client.call(address, "state", {}, wait) for address in asked)
+        )
         self.states = {}
         for address, result in zip(asked, results):
-            if isinstance(result, outcome.Good):
+            if isinstance(result, outcome.Success):
                 self._take_state(address, result.value)
         now = self._clock.now()
         for disk in self._proposer.members.disks():
@@ -138,7 +140,7 @@
 
     async def _found(self) -> None:
         """Found only when all founding members are reached and blank."""
-        founders = self._bounds.founders
+        founders = self._config.founders
         by_address = {state.address: state for state in self.states.values()}
         if not founders or any(address not in by_address for address in founders):
             return
@@ -164,15 +166,15 @@
             *(self._tell(state, messages.Install(members, state.disk)) for state in old)
         )
         for state, result in zip(old, results):
-            if isinstance(result, outcome.Good):
+            if isinstance(result, outcome.Success):
                 self.states[state.disk] = state.holding(members)
         return self._holding(members.epoch)
 
     async def _tell(
         self, state: replicas.ReplicaState, told: messages.Install | messages.Retire
     ) -> frames.Result:
-        return await self._caller.ask(
-            self._address_of(state.disk), told.KIND, messages.encode(told), self._bounds.call_s
+        return await self._call_client.call(
+            self._address_of(state.disk), told.KIND, messages.encode(told), self._config.call_timeout_s
         )
 
     def _address_of(self, disk: str) -> ports.Address:
@@ -184,10 +186,10 @@
 
     async def _behind(self) -> bool:
         """Whether a later set was decided than is installed; if so, bring it out."""
-        result = await self._proposer.read(register.MEMBERS)
-        if isinstance(result, outcome.Bad):
+        result = await self._proposer.read(register.MEMBERS_KEY)
+        if isinstance(result, outcome.Failure):
             return True
-        decided = register.decode_set(result.value)
+        decided = register.member_set_from_body(result.value)
         if decided.epoch <= self._proposer.members.epoch:
             return False
         self._proposer.quorum.adopt(decided)
@@ -199,23 +201,23 @@
         self._changes += 1
         op = f"{self._name}/seat/{self._changes}/{fresh.epoch}"
 
-        def step(now: register.Value) -> register.Value | outcome.Bad:
-            if now.made(op) is not None:
+        def step(now: register.Value) -> register.Value | outcome.Failure:
+            if now.version_of(op) is not None:
                 return now
-            held = register.decode_set(now)
+            held = register.member_set_from_body(now)
             # The founding set stands on the disks alone, not in the register. What the
             # proposer knows by now may be a later set than the one this was made from.
             if held.epoch != (0 if was.epoch == 1 else was.epoch):
-                return outcome.bad("conflict", f"epoch {held.epoch}")
-            return now.next(register.encode_set(fresh), op)
+                return outcome.failure("conflict", f"epoch {held.epoch}")
+            return now.successor(register.member_set_to_body(fresh), op)
 
-        result = await self._proposer.change(register.MEMBERS, step)
-        return isinstance(result, outcome.Good)
+        result = await self._proposer.change(register.MEMBERS_KEY, step)
+        return isinstance(result, outcome.Success)
 
     def _lost(self, members: register.MemberSet) -> list[str]:
         """Voters that will not answer again, as far as can be told."""
         answering = {state.address: disk for disk, state in self.states.items()}
-        lost = [d for d in self._silent if self.silent_s(d) >= self._bounds.swap_s]
+        lost = [d for d in self._silent if self.silent_s(d) >= self._config.disk_replace_after_s]
         # Where another disk answers by now at its own store's address, it will not come back.
         lost += [d for d in self._silent if answering.get(members.disks().get(d, ""), d) != d]
         return [disk for disk in members.disks() if disk in lost]
@@ -252,25 +254,25 @@
         joint = register.MemberSet(members.epoch + 1, (members.groups[0], tuple(sorted(group.items()))))
         if not await self._move(members, joint):
             return
-        self._points.hit(POINT_JOINT_WRITTEN)
+        self._fault_points.hit(POINT_JOINT_WRITTEN)
         self._proposer.quorum.adopt(joint)
         await self._install(joint)
-        self._points.hit(POINT_JOINT_INSTALLED)
+        self._fault_points.hit(POINT_JOINT_INSTALLED)
 
     async def _finish(self) -> None:
         """From the joint set to the new one, once all keys are written under it."""
         joint = self._proposer.members
         holding = await self._install(joint)
         # Until majorities of both refuse the older set, it might still be acted on.
-        if not register.carried(joint.groups, holding):
+        if not register.has_majorities(joint.groups, holding):
             return
         if not await self._rewrite_keys():
             return
-        self._points.hit(POINT_SWEPT)
+        self._fault_points.hit(POINT_SWEPT)
         fresh = register.MemberSet(joint.epoch + 1, (joint.groups[-1],))
         if not await self._move(joint, fresh):
             return
-        self._points.hit(POINT_NEW_WRITTEN)
+        self._fault_points.hit(POINT_NEW_WRITTEN)
         self._proposer.quorum.adopt(fresh)
         await self._install(fresh)
         self._silent = {disk: since for disk, since in self._silent.items() if disk in fresh.disks()}
@@ -281,10 +283,10 @@
         """Write every key under the set in force, so that the new voters hold it."""
         keys = await self._proposer.copies.keys()
         for key in keys or ():
-            if key == register.MEMBERS:
+            if key == register.MEMBERS_KEY:
                 continue
             result = await self._proposer.change(key, lambda now: now)
-            if isinstance(result, outcome.Bad):
+            if isinstance(result, outcome.Failure):
                 return False
         return keys is not None
 
@@ -295,7 +297,7 @@
         left to tell of it, and its vote may be needed in the old one.
         """
         members = self._proposer.members
-        if not register.carried(members.groups, self._holding(members.epoch)):
+        if not register.has_majorities(members.groups, self._holding(members.epoch)):
             return
         replaced = [
             state
--- a/packages/registry/src/dykeswitch/registry/relay.py
+++ b/packages/registry/src/dykeswitch/registry/relay.py
@@ -11,7 +11,7 @@
 import dykeswitch.ports as ports
 import dykeswitch.registry.components as components
 import dykeswitch.registry.publisher as publishers
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 
 class DocumentRelay:
@@ -20,48 +20,50 @@
     def __init__(self, parts: components.Components) -> None:
         self._parts = parts
         self._documents = parts.publisher.documents
-        self._documents.on_handed = self._tell_handed
+        self._documents.on_delivered = self._report_delivered
         # Calls that nobody waits for, held until they end.
         self._pending: set[asyncio.Task[frames.Result]] = set()
 
-    def kinds(self) -> dict[str, frames.Handle]:
+    def kinds(self) -> dict[str, frames.Handler]:
         """The calls answered here, by their kinds."""
-        return {"handed": self._on_handed}
+        return {"handed": self._on_delivered}
 
-    def _tell_handed(self, name: str, version: int, proxy: str) -> None:
+    def _report_delivered(self, name: str, version: int, proxy: str) -> None:
         """Tell the registry that named a document of the first proxies that we handed it to."""
-        if len(self._documents.handed[name, version]) > publishers.HANDED:
+        if len(self._documents.delivered[name, version]) > publishers.HANDED:
             return
         parts = self._parts
-        named = parts.line.get(timeline.DOCUMENT, name)
-        address = None if named is None else parts.spread.known_cores().get(named.stamp[1])
+        named = parts.timeline.get(timelines.DOCUMENT, name)
+        address = None if named is None else parts.gossip.known_cores().get(named.stamp[1])
         if address is None:
             return
         told: frames.Body = {"name": name, "version": version, "proxy": proxy}
-        call = asyncio.create_task(parts.caller.ask(address, "handed", told, parts.bounds.call_s))
+        call = asyncio.create_task(
+            parts.call_client.call(address, "handed", told, parts.config.call_timeout_s)
+        )
         self._pending.add(call)
         call.add_done_callback(self._pending.discard)
 
-    async def _on_handed(self, body: frames.Body) -> frames.Result:
+    async def _on_delivered(self, body: frames.Body) -> frames.Result:
         """Another registry handed a document that we named to a proxy."""
-        self._documents.note_handed(str(body["name"]), int(body["version"]), str(body["proxy"]))
-        return outcome.Good({})
+        self._documents.note_delivered(str(body["name"]), int(body["version"]), str(body["proxy"]))
+        return outcome.Success({})
 
     async def keep_fetched(self) -> None:
         """Fetch a document as soon as another registry names it, so that our proxies can have it of us."""
         parts = self._parts
         while True:
-            async with parts.line.news:
+            async with parts.timeline.changed:
                 await ports.wait_for(
-                    parts.line.news, lambda: bool(self._documents.behind()), parts.bounds.hold_s
+                    parts.timeline.changed, lambda: bool(self._documents.outdated()), parts.config.hold_s
                 )
-            if self._documents.behind() and not await self._fetch():
-                await parts.clock.sleep(parts.bounds.tick_s)
+            if self._documents.outdated() and not await self._fetch():
+                await parts.clock.sleep(parts.config.tick_interval_s)
 
     async def _fetch(self) -> bool:
         """Fetch what we are behind on, from whoever named it first of all."""
-        cores = self._parts.spread.cores()
-        names = [entry.stamp[1] for entry in self._parts.line.all(timeline.DOCUMENT)]
+        cores = self._parts.gossip.cores()
+        names = [entry.stamp[1] for entry in self._parts.timeline.all(timelines.DOCUMENT)]
         first = [cores[name] for name in names if name in cores]
         addresses = list(dict.fromkeys([*first, *cores.values()]))
         return await self._documents.catch_up(addresses)
--- a/packages/registry/src/dykeswitch/registry/replies.py
+++ b/packages/registry/src/dykeswitch/registry/replies.py
@@ -9,7 +9,7 @@
 import dykeswitch.layout as layouts
 import dykeswitch.layout.pauses as pauses
 import dykeswitch.outcome as outcome
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 SPANS_KEPT: typing.Final = 64
 
@@ -32,14 +32,14 @@
 class Spans:
     """For each endpoint, a bounded history of when it was open or paused, and why."""
 
-    def __init__(self, line: timeline.Timeline, wall: typing.Callable[[], float]) -> None:
+    def __init__(self, timeline: timelines.Timeline, wall: typing.Callable[[], float]) -> None:
         self._wall = wall
-        self._clock = line.clock
+        self._clock = timeline.clock
         self._kept: dict[str, collections.deque[list[typing.Any]]] = {}
-        line.on_change(self._on_entry)
+        timeline.on_change(self._on_entry)
 
-    def _on_entry(self, entry: timeline.Entry) -> None:
-        if entry.kind == timeline.MARK:
+    def _on_entry(self, entry: timelines.Entry) -> None:
+        if entry.kind == timelines.MARK:
             name = entry.key.removeprefix("down:")
             if entry.fields.get("clear"):
                 self._note(name, "open", str(entry.fields["reason"]), str(entry.fields["by"]), None)
@@ -47,16 +47,16 @@
             left = entry.expiry - self._clock.now()
             until = stamp(self._wall() + left)
             self._note(name, "paused", str(entry.fields["reason"]), str(entry.fields["by"]), until)
-        elif entry.kind == timeline.ENDPOINT:
+        elif entry.kind == timelines.ENDPOINT:
             state = str(entry.fields["state"])
-            self._note(entry.key, "open" if state == timeline.UP else "gone", state, "registry", None)
+            self._note(entry.key, "open" if state == timelines.UP else "gone", state, "registry", None)
 
     def _note(self, name: str, state: str, reason: str, by: str, until: str | None) -> None:
         kept = self._kept.setdefault(name, collections.deque(maxlen=SPANS_KEPT))
         # Beats that change nothing are no news.
         if kept and kept[-1][2:5] == [state, reason, by] and state != "paused":
             return
-        if state == "open" and reason == timeline.UP and kept and kept[-1][2] == "paused":
+        if state == "open" and reason == timelines.UP and kept and kept[-1][2] == "paused":
             return
         kept.append([name, stamp(self._wall()), state, reason, by, until])
         if len(self._kept) > 4096:
@@ -92,23 +92,23 @@
 
     def __init__(
         self,
-        line: timeline.Timeline,
-        marks: timeline.Marks,
+        timeline: timelines.Timeline,
+        marks: timelines.Marks,
         wall: typing.Callable[[], float],
         layout: typing.Callable[[], layouts.Layout | None],
         planned: typing.Callable[[], list[pauses.Pause]],
     ) -> None:
-        self._line = line
+        self._timeline = timeline
         self._marks = marks
         self._wall = wall
         self._layout = layout
         self._planned = planned
-        self.spans = Spans(line, wall)
+        self.spans = Spans(timeline, wall)
 
-    def _endpoints(self, ask: language.Show) -> list[timeline.Entry]:
+    def _endpoints(self, ask: language.Show) -> list[timelines.Entry]:
         return [
             e
-            for e in sorted(self._line.all(timeline.ENDPOINT), key=lambda e: e.key)
+            for e in sorted(self._timeline.all(timelines.ENDPOINT), key=lambda e: e.key)
             if ask.wants("service", str(e.fields["service"]))
             and ask.wants("zone", str(e.fields.get("zone")))
             and ask.wants("endpoint", e.key)
@@ -118,7 +118,7 @@
         """The endpoints that a question is about."""
         return [e.key for e in self._endpoints(ask)]
 
-    def standing(self, entry: timeline.Entry) -> list[list[typing.Any]]:
+    def standing(self, entry: timelines.Entry) -> list[list[typing.Any]]:
         """Every reason why an endpoint takes no traffic now: why, until, who, kind."""
         found: list[list[typing.Any]] = []
         wall = self._wall()
@@ -126,13 +126,13 @@
             if pause.endpoint == entry.key and pause.open(wall):
                 found.append([pause.reason, stamp(pause.ends), pause.by, f"planned {pause.name}"])
         state = entry.fields["state"]
-        if state != timeline.UP:
-            why = {timeline.LAPSED: "beats stopped", timeline.LEFT: "left"}.get(state, "displaced")
-            until = "its next beat" if state == timeline.LAPSED else "never"
+        if state != timelines.UP:
+            why = {timelines.LAPSED: "beats stopped", timelines.LEFT: "left"}.get(state, "displaced")
+            until = "its next beat" if state == timelines.LAPSED else "never"
             found.append([why, until, "registry", "gone"])
-        mark = self._marks.down(entry.key)
+        mark = self._marks.mark_of(entry.key)
         if mark is not None:
-            left = mark.expiry - self._line.clock.now()
+            left = mark.expiry - self._timeline.clock.now()
             found.append([mark.fields["reason"], stamp(wall + left), mark.fields["by"], "mark"])
         return found
 
@@ -168,7 +168,7 @@
             rows = []
             for name, service in sorted((layout.services if layout else {}).items()):
                 every = self._endpoints(language.Show("endpoints", (("service", name),)))
-                alive = [e for e in every if e.fields["state"] == timeline.UP]
+                alive = [e for e in every if e.fields["state"] == timelines.UP]
                 clear = sum(1 for e in alive if not self.standing(e))
                 if ask.wants("service", name):
                     rows.append([name, service.probe, len(alive), clear])
@@ -182,11 +182,11 @@
             return Table(("rule", "host", "path", "methods", "service", "writing"), rows)
         return None
 
-    def explain(self, ask: language.Explain) -> Table | outcome.Bad:
+    def explain(self, ask: language.Explain) -> Table | outcome.Failure:
         """Step by step, why a request would go where it goes."""
         layout = self._layout()
         if layout is None:
-            return outcome.bad("no_layout")
+            return outcome.failure("no_layout")
         rows: list[list[typing.Any]] = []
         rule = layout.match(ask.host, ask.path, ask.method)
         if rule is None:
--- a/packages/registry/src/dykeswitch/registry/routes.py
+++ b/packages/registry/src/dykeswitch/registry/routes.py
@@ -21,15 +21,17 @@
 BEAT_MOST: typing.Final = 16384
 
 
-def page_of(result: outcome.Good[dict[str, typing.Any]] | outcome.Bad, version: int | None = None) -> Page:
+def page_of(
+    result: outcome.Success[dict[str, typing.Any]] | outcome.Failure, version: int | None = None
+) -> Page:
     """An outcome as a page with its status, code and hint."""
-    heads = {} if version is None else {"ETag": f'"{version}"'}
-    if isinstance(result, outcome.Good):
-        return litestar.Response(result.value, status_code=200, headers=heads)
-    heads["Dykeswitch-Result"] = str(result.code.number)
+    headers = {} if version is None else {"ETag": f'"{version}"'}
+    if isinstance(result, outcome.Success):
+        return litestar.Response(result.value, status_code=200, headers=headers)
+    headers["Dykeswitch-Result"] = str(result.code.number)
     if result.code.status == 503:
-        heads["Retry-After"] = "1"
-    return litestar.Response(result.page(), status_code=result.code.status, headers=heads)
+        headers["Retry-After"] = "1"
+    return litestar.Response(result.page(), status_code=result.code.status, headers=headers)
 
 
 class Routes:
@@ -37,7 +39,7 @@
 
     def __init__(
         self,
-        bounds: settings.Settings,
+        config: settings.Settings,
         log: logs.Log,
         stand: standing.Standing,
         beats: heartbeats.Heartbeats,
@@ -45,7 +47,7 @@
         queries: queries.Queries,
         pages: pages.Pages,
     ) -> None:
-        self._bounds = bounds
+        self._config = config
         self._log = log
         self._standing = stand
         self._heartbeats = beats
@@ -71,18 +73,18 @@
             ],
             openapi_config=None,
             logging_config=None,
-            request_max_body_size=self._bounds.layout_most,
+            request_max_body_size=self._config.layout_most,
             exception_handlers={Exception: self._failed},
         )
 
     def _failed(self, request: Request, flaw: Exception) -> Page:
         status = flaw.status_code if isinstance(flaw, litestar.exceptions.HTTPException) else 500
         if status == 413:
-            return page_of(outcome.bad("too_big", f"over {self._bounds.layout_most} bytes"))
+            return page_of(outcome.failure("too_big", f"over {self._config.layout_most} bytes"))
         if status in (404, 405):
-            return page_of(outcome.bad("no_such", f"{request.method} {request.url.path}"))
+            return page_of(outcome.failure("no_such", f"{request.method} {request.url.path}"))
         self._log.error("call failed", path=request.url.path, flaw=f"{type(flaw).__name__}: {flaw}")
-        return page_of(outcome.bad("broke", type(flaw).__name__))
+        return page_of(outcome.failure("broke", type(flaw).__name__))
 
     def _healthz(self) -> dict[str, str]:
         return {"state": "alive"}
@@ -109,16 +111,16 @@
     async def _post_beat(self, request: Request) -> Page:
         data = await request.body()
         if len(data) > BEAT_MOST:
-            return page_of(outcome.bad("too_big", f"over {BEAT_MOST} bytes"))
+            return page_of(outcome.failure("too_big", f"over {BEAT_MOST} bytes"))
         try:
             raw = json.loads(data)
         except (ValueError, RecursionError) as flaw:
-            return page_of(outcome.bad("bad_json", str(flaw)[:200]))
+            return page_of(outcome.failure("bad_json", str(flaw)[:200]))
         return page_of(await self._heartbeats.beat(raw))
 
     async def _get_layout(self) -> litestar.Response[typing.Any]:
         result = await self._orders.newest()
-        if isinstance(result, outcome.Bad):
+        if isinstance(result, outcome.Failure):
             return page_of(result)
         version = str(result.value.version)
         return litestar.Response(
@@ -133,28 +135,28 @@
         if match is not None and match != "*":
             text = match.strip().strip('"')
             if not text.isdigit():
-                return page_of(outcome.bad("bad_match", match[:80]))
+                return page_of(outcome.failure("bad_match", match[:80]))
             want = int(text)
         result = await self._orders.put(await request.body(), want)
-        if isinstance(result, outcome.Bad):
+        if isinstance(result, outcome.Failure):
             return page_of(result)
-        return page_of(outcome.Good({"version": result.value}), result.value)
+        return page_of(outcome.Success({"version": result.value}), result.value)
 
     async def _post_query(self, request: Request) -> Page:
         try:
             raw = json.loads(await request.body())
         except (ValueError, RecursionError) as flaw:
-            return page_of(outcome.bad("bad_json", str(flaw)[:200]))
+            return page_of(outcome.failure("bad_json", str(flaw)[:200]))
         if not isinstance(raw, dict) or not isinstance(raw.get("text"), str):
-            return page_of(outcome.bad("bad_query", "send an object with a text"))
+            return page_of(outcome.failure("bad_query", "send an object with a text"))
         asked = language.parse(raw["text"])
-        if isinstance(asked, outcome.Bad):
+        if isinstance(asked, outcome.Failure):
             return page_of(asked)
         by = outcome.fit(str(raw.get("by", "operator"))[:80])
         found = await self._queries.answer(asked.value, by)
-        if isinstance(found, outcome.Bad):
+        if isinstance(found, outcome.Failure):
             return page_of(found)
         page: dict[str, typing.Any] = {"columns": list(found.columns), "rows": found.rows}
         if found.summary:
             page["summary"] = found.summary
-        return page_of(outcome.Good({**page, "fresh": self._standing.fresh()}))
+        return page_of(outcome.Success({**page, "fresh": self._standing.fresh()}))
--- a/packages/registry/src/dykeswitch/registry/standing.py
+++ b/packages/registry/src/dykeswitch/registry/standing.py
@@ -23,17 +23,17 @@
         Without one the other registries may know, and decide, what this one does not.
         """
         age = self._parts.clock.now() - self._parts.publisher.majority_at
-        return age <= self._parts.bounds.drain_s
+        return age <= self._parts.config.drain_s
 
-    async def without_majority(self) -> outcome.Bad | None:
+    async def without_majority(self) -> outcome.Failure | None:
         """Say soon that there is no majority: an operator waits a second, and goes on elsewhere."""
         if self.has_majority():
             return None
         try:
-            async with asyncio.timeout(self._parts.bounds.call_s * LOOK_PART):
+            async with asyncio.timeout(self._parts.config.call_timeout_s * LOOK_PART):
                 return await self._parts.publisher.read_documents()
         except TimeoutError:
-            return outcome.bad("no_majority", "not heard of for a while")
+            return outcome.failure("no_majority", "not heard of for a while")
 
     def unready(self) -> str | None:
         """Why this registry is not ready; nothing if it is."""
@@ -49,9 +49,9 @@
         now = parts.clock.now()
         majority_at = parts.publisher.majority_at
         age = round(now - majority_at, 2) if majority_at > 0 else None
-        alone = now - parts.spread.heard > parts.bounds.drain_s
+        alone = now - parts.gossip.last_heard_at > parts.config.drain_s
         return {
-            "by": parts.bounds.name,
+            "by": parts.config.name,
             "majority": self.has_majority() and not self.stopping,
             "majority_read_s_ago": age,
             "cut_off": alone,
--- a/packages/registry/src/dykeswitch/registry/upkeep.py
+++ b/packages/registry/src/dykeswitch/registry/upkeep.py
@@ -10,7 +10,7 @@
 import dykeswitch.registry.duties as duties
 import dykeswitch.registry.member_calls as member_calls
 import dykeswitch.registry.standing as standing
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 # The register's key of the table of endpoints.
 TABLE: typing.Final = "endpoints"
@@ -32,10 +32,10 @@
         self._parts = parts
         self._standing = stand
         self._members = members
-        self._bounds = parts.bounds
+        self._config = parts.config
         self._clock = parts.clock
         # The table of endpoints as we last wrote it to the register.
-        self._table: list[timeline.Fields] = []
+        self._table: list[timelines.Fields] = []
         self._table_writes = 0
         self._tick = self._clock.now()
         # Whether silence proved nothing when we last looked.
@@ -44,7 +44,7 @@
     def loops(self) -> list[Loop]:
         """Every loop, to be run side by side."""
         return [
-            self._parts.spread.run(),
+            self._parts.gossip.run(),
             self._keep_announced(),
             self._keep_seated(),
             self._keep_reading(),
@@ -58,28 +58,28 @@
 
     async def _keep_announced(self) -> None:
         """Announce ourselves as a core, so that all know us and the store beside us."""
-        bounds = self._bounds
+        config = self._config
         fields = {
-            "spot": bounds.member,
-            "web": bounds.web,
-            "store": bounds.store,
-            "zone": bounds.zone,
-            "boot": self._parts.boot,
+            "spot": config.member,
+            "web": config.web,
+            "store": config.store,
+            "zone": config.zone,
+            "boot": self._parts.boot_id,
         }
         while True:
-            fresh = self._parts.line.get(timeline.CORE, bounds.name) is None
+            fresh = self._parts.timeline.get(timelines.CORE, config.name) is None
             # Whether we live is heard by calls; this says who and where we are.
-            self._parts.line.write(timeline.CORE, bounds.name, dict(fields), bounds.recover_s, fresh)
-            await self._clock.sleep(bounds.recover_s / 4)
+            self._parts.timeline.write(timelines.CORE, config.name, dict(fields), config.recover_s, fresh)
+            await self._clock.sleep(config.recover_s / 4)
 
     async def _keep_seated(self) -> None:
         """Keep the member set of the stores whole."""
         parts = self._parts
         while True:
-            stores = {e.key: str(e.fields["store"]) for e in parts.line.all(timeline.CORE)}
-            stores[self._bounds.name] = self._bounds.store
-            await parts.reconfiguration.tend(set(stores.values()), parts.live(), stores)
-            span = self._bounds.sweep_s * (0.75 + 0.5 * parts.rng.random())
+            stores = {e.key: str(e.fields["store"]) for e in parts.timeline.all(timelines.CORE)}
+            stores[self._config.name] = self._config.store
+            await parts.reconfiguration.reconcile(set(stores.values()), parts.live(), stores)
+            span = self._config.sweep_interval_s * (0.75 + 0.5 * parts.rng.random())
             # Until a set is known nothing can be told to anybody: look again soon.
             await self._clock.sleep(span if parts.proposer.members.groups else span * EAGER)
 
@@ -87,18 +87,18 @@
         """Learn what others committed, also when they died before they could tell."""
         publisher = self._parts.publisher
         while True:
-            bad = await publisher.read_documents()
-            eager = bad is not None and publisher.majority_at < 0
-            await self._clock.sleep(self._bounds.sweep_s * (EAGER if eager else 1.0))
+            failure = await publisher.read_documents()
+            eager = failure is not None and publisher.majority_at < 0
+            await self._clock.sleep(self._config.sweep_interval_s * (EAGER if eager else 1.0))
 
     async def _keep_table(self) -> None:
         """Have the register remember which endpoints there are, and begin with what it remembers."""
         while not await self._recall():
-            await self._clock.sleep(self._bounds.sweep_s * EAGER)
+            await self._clock.sleep(self._config.sweep_interval_s * EAGER)
         while True:
-            await self._clock.sleep(self._bounds.sweep_s)
+            await self._clock.sleep(self._config.sweep_interval_s)
             # One of the living registries writes it, and only when it has changed.
-            if duties.first_of(TABLE, self._parts.live()) != self._bounds.name:
+            if duties.first_of(TABLE, self._parts.live()) != self._config.name:
                 continue
             rows = self._parts.endpoints.table()
             if rows and rows != self._table and await self._write_table(cbor2.dumps(rows)):
@@ -106,16 +106,16 @@
 
     async def _write_table(self, data: bytes) -> bool:
         self._table_writes += 1
-        op = f"{self._bounds.name}/{self._parts.boot}/{TABLE}/{self._table_writes}"
+        op = f"{self._config.name}/{self._parts.boot_id}/{TABLE}/{self._table_writes}"
 
         def step(now: register.Value) -> register.Value:
-            return now if now.made(op) is not None or now.body == data else now.next(data, op)
+            return now if now.version_of(op) is not None or now.body == data else now.successor(data, op)
 
-        return isinstance(await self._parts.proposer.change(TABLE, step), outcome.Good)
+        return isinstance(await self._parts.proposer.change(TABLE, step), outcome.Success)
 
     async def _recall(self) -> bool:
         result = await self._parts.proposer.read(TABLE)
-        if isinstance(result, outcome.Bad):
+        if isinstance(result, outcome.Failure):
             return False
         if result.value.body:
             taken = self._parts.endpoints.remember(cbor2.loads(result.value.body))
@@ -126,24 +126,24 @@
         """Claim the duties that fall to us."""
         while True:
             # A first look around, lest each start takes every duty to itself.
-            await self._clock.sleep(self._bounds.dead_s / 2)
-            await self._parts.duties.tend(self._parts.live())
-            self._parts.lender.tidy()
+            await self._clock.sleep(self._config.dead_after_s / 2)
+            await self._parts.duties.reconcile(self._parts.live())
+            self._parts.lender.remove_expired()
 
     async def _keep_lapsing(self) -> None:
         """Take endpoints that fell silent for gone."""
         parts = self._parts
         while True:
             now = self._clock.now()
-            if now - self._tick > self._bounds.gap_s + self._bounds.tick_s:
-                parts.endpoints.woke()
+            if now - self._tick > self._config.clock_gap_s + self._config.tick_interval_s:
+                parts.endpoints.resumed()
                 parts.log.warning("frozen", span_s=round(now - self._tick, 2))
             self._tick = now
             if not self._may_judge():
                 self._blind = True
             else:
                 self._lapse_silent()
-            await self._clock.sleep(self._bounds.tick_s)
+            await self._clock.sleep(self._config.tick_interval_s)
 
     def _may_judge(self) -> bool:
         """Without a majority heartbeats are sent elsewhere: that we hear none proves nothing."""
@@ -153,24 +153,24 @@
         parts = self._parts
         if self._blind:
             # What was missed meanwhile is not held against anybody.
-            parts.endpoints.woke()
+            parts.endpoints.resumed()
             self._blind = False
-        whole = parts.spread.cores().keys() == parts.spread.known_cores().keys()
-        for name in parts.endpoints.lapse(whole):
+        whole = parts.gossip.cores().keys() == parts.gossip.known_cores().keys()
+        for name in parts.endpoints.expire_silent(whole):
             parts.log.warning("endpoint lapsed", endpoint=name)
 
     async def _keep_telling(self) -> None:
         """Tell the other registries whose beats we heard: who is silent for one is not for all."""
         while True:
-            names = self._parts.endpoints.told()
+            names = self._parts.endpoints.recently_heard()
             if names:
                 await self._members.ask_others("heard", {"names": names})
-            await self._clock.sleep(self._bounds.dead_s / 3)
+            await self._clock.sleep(self._config.dead_after_s / 3)
 
     async def _keep_swept(self) -> None:
         """Find the old copies that no read comes by."""
         while True:
-            await self._clock.sleep(self._bounds.recover_s / 3)
-            mended = await self._parts.proposer.sweep_copies()
-            if mended:
-                self._parts.log.info("copies mended", keys=mended)
+            await self._clock.sleep(self._config.recover_s / 3)
+            repaired = await self._parts.proposer.repair_copies()
+            if repaired:
+                self._parts.log.info("copies mended", keys=repaired)
--- a/packages/registry/src/dykeswitch/registry/votes.py
+++ b/packages/registry/src/dykeswitch/registry/votes.py
@@ -110,10 +110,10 @@
     meant = reconfiguration.tolerance
     return {
         "epoch": members.epoch,
-        "changing": members.joint(),
+        "changing": members.is_joint(),
         "votes": " and ".join(str(len(group)) for group in members.groups),
-        "machines that may be lost now": placement.bearable(members.groups, answering, by_machine),
-        "zones that may be lost now": placement.bearable(members.groups, answering, by_zone),
-        "regions that may be lost now": placement.bearable(members.groups, answering, by_region),
+        "machines that may be lost now": placement.survivable_losses(members.groups, answering, by_machine),
+        "zones that may be lost now": placement.survivable_losses(members.groups, answering, by_zone),
+        "regions that may be lost now": placement.survivable_losses(members.groups, answering, by_region),
         "to be borne": f"{meant.machines} machines, {meant.zones} zones, {meant.regions} regions",
     }
--- a/packages/scale/src/dykeswitch/scale/data_path.py
+++ b/packages/scale/src/dykeswitch/scale/data_path.py
@@ -103,8 +103,8 @@
         await asyncio.gather(self.worker.start(), self.relay.start())
         self.proxy.start()
         testbeds.tell_watchdog(self._watchdog, self.proxy)
-        self.fleet.spawn(self.fleet.callers.watch())
-        await self.fleet.until(lambda: bool(self.fleet.callers.ready), 60, "the proxy is ready")
+        self.fleet.spawn(self.fleet.clients.watch_readiness())
+        await self.fleet.until(lambda: bool(self.fleet.clients.ready), 60, "the proxy is ready")
         while await self.fleet.known() < self.load.endpoints:
             await self.fleet.machine.clock.sleep(0.05)
 
@@ -141,7 +141,7 @@
         address = address or self.rng.choice(self.addresses)
         begun = asyncio.get_running_loop().time()
         try:
-            reply = await self.fleet.machine.web.ask("GET", address, "/x?ask=a", [], b"", 5.0)
+            reply = await self.fleet.machine.web.request("GET", address, "/x?ask=a", [], b"", 5.0)
         except (OSError, TimeoutError):
             self.failed += 1
             return
@@ -151,7 +151,7 @@
             return
         if arm != "relay":
             # Warm, idle or fresh: by when this endpoint was reached last in this way.
-            by = f"{arm} {reply.head('dykeswitch-served-by')}"
+            by = f"{arm} {reply.header('dykeswitch-served-by')}"
             last = self._used.get(by)
             state = "fresh" if last is None else "kept" if begun - last < KEPT_S else "idle"
             self._used[by] = now
--- a/packages/scale/src/dykeswitch/scale/derived.py
+++ b/packages/scale/src/dykeswitch/scale/derived.py
@@ -10,11 +10,11 @@
 import dykeswitch.register as register
 import dykeswitch.scale.target as targets
 import dykeswitch.settings as settings
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 from dykeswitch.scale.size import Size
 
 T: typing.Final = targets.TARGET
-BOUNDS: typing.Final = settings.Settings()
+CONFIG: typing.Final = settings.Settings()
 
 
 class FrozenClock:
@@ -28,7 +28,7 @@
         """Always the same moment."""
         return 1000.0
 
-    async def sleep(self, duration: float) -> None:
+    async def sleep(self, duration_s: float) -> None:
         """Return at once."""
         return None
 
@@ -36,27 +36,27 @@
 @functools.cache
 def entry_bytes() -> float:
     """An endpoint's entry on the wire, with names as long as the test fleets'."""
-    line = timeline.Timeline("core0", FrozenClock(), BOUNDS.forget_s)
+    timeline = timelines.Timeline("core0", FrozenClock(), CONFIG.forget_s)
     fields = {
         "service": "s123",
         "address": "10.123.123.123:8000",
         "zone": "z12",
         "burden": 0.188,
         "interval": 1.0,
-        "state": timeline.UP,
+        "state": timelines.UP,
         "born": [123456, "core0"],
     }
-    made = line.write(timeline.ENDPOINT, "s123-12345", fields, BOUNDS.forget_s - 0.123, urgent=False)
+    made = timeline.write(timelines.ENDPOINT, "s123-12345", fields, CONFIG.forget_s - 0.123, urgent=False)
     assert made is not None
-    return float(len(cbor2.dumps(made.wire(1000.0))))
+    return float(len(cbor2.dumps(made.to_wire(1000.0))))
 
 
 @functools.cache
 def layout_bytes(rules: int, services: int) -> int:
     """A layout of so many rules, as it stands in the register and travels to each proxy."""
     read = layouts.check(Size(rules=rules, services=services).layout(1))
-    assert isinstance(read, outcome.Good)
-    return len(layouts.pack(read.value))
+    assert isinstance(read, outcome.Success)
+    return len(layouts.serialize(read.value))
 
 
 Figures = dict[str, tuple[float, str]]
@@ -99,14 +99,14 @@
     return {
         "rule_bytes": (rule, "B"),
         "paper_bytes": (document, "B"),
-        "paper_most": (BOUNDS.layout_most, "B"),
+        "paper_most": (CONFIG.layout_most, "B"),
         "every_s": (CHANGE_EVERY_S, "s"),
         "paper_rate": (document / CHANGE_EVERY_S, "B/s"),
         "paper_over": (document / CHANGE_EVERY_S / T.bytes_s, "times"),
         "paper_delta_rate": (rule / CHANGE_EVERY_S, "B/s"),
         "paper_all_rate": (T.nodes * document / CHANGE_EVERY_S, "B/s"),
         "paper_all_delta_rate": (T.nodes * rule / CHANGE_EVERY_S, "B/s"),
-        "ops_kept_s": (register.OPS_KEPT * CHANGE_EVERY_S, "s"),
+        "ops_kept_s": (register.MAX_OPS * CHANGE_EVERY_S, "s"),
     }
 
 
@@ -118,14 +118,14 @@
         "standing_polls": (float(T.nodes * T.machines), "polls"),
         "polls_each": (float(T.nodes), "polls"),
         "beats_each": (T.endpoints / T.machines, "/s"),
-        "probes": (T.endpoints / BOUNDS.probe_every_s, "/s"),
-        "probes_each": (T.endpoints / BOUNDS.probe_every_s / T.machines, "/s"),
+        "probes": (T.endpoints / CONFIG.probe_interval_s, "/s"),
+        "probes_each": (T.endpoints / CONFIG.probe_interval_s / T.machines, "/s"),
         "node_requests": (NODE_REQUESTS_S, "/s"),
         "pair_every_s": (T.endpoints / NODE_REQUESTS_S, "s"),
         "zone_pair_every_s": (T.endpoints / T.zones / NODE_REQUESTS_S, "s"),
-        "mark_s": (BOUNDS.mark_s, "s"),
-        "hold_s": (BOUNDS.hold_s, "s"),
-        "shuffle_s": (BOUNDS.shuffle_s, "s"),
+        "mark_s": (CONFIG.mark_s, "s"),
+        "hold_s": (CONFIG.hold_s, "s"),
+        "shuffle_s": (CONFIG.shuffle_s, "s"),
     }
 
 
@@ -134,6 +134,6 @@
     return {
         "cut_changes": (T.cut_off_s / CHANGE_EVERY_S, "layouts"),
         "cut_restarts": (T.restarts_day / targets.DAY_S * T.cut_off_s / T.regions, "starts"),
-        "forget_s": (BOUNDS.forget_s, "s"),
+        "forget_s": (CONFIG.forget_s, "s"),
         "restart_every_s": (targets.DAY_S / STARTS_DAY, "s"),
     }
--- a/packages/scale/src/dykeswitch/scale/simulated.py
+++ b/packages/scale/src/dykeswitch/scale/simulated.py
@@ -16,7 +16,7 @@
 import dykeswitch.simulator.fleet as fleets
 import dykeswitch.simulator.loop as loops
 import dykeswitch.standin.shape as shapes
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 from dykeswitch.scale.size import HEADLESS, Size
 
 Page = dict[str, typing.Any]
@@ -47,16 +47,16 @@
         took = await self.fleet.start()
         await self.fleet.apply(self.size.layout(0))
         for edge in self.fleet.edges:
-            self._watch(edge.node.name, edge.node.daemon.line)
+            self._watch(edge.node.name, edge.node.daemon.timeline)
         return took
 
-    def _watch(self, name: str, line: timeline.Timeline) -> None:
-        def taken(entry: timeline.Entry) -> None:
-            left = entry.kind == timeline.ENDPOINT and entry.fields["state"] == timeline.LEFT
-            if left or entry.kind == timeline.MARK:
+    def _watch(self, name: str, timeline: timelines.Timeline) -> None:
+        def taken(entry: timelines.Entry) -> None:
+            left = entry.kind == timelines.ENDPOINT and entry.fields["state"] == timelines.LEFT
+            if left or entry.kind == timelines.MARK:
                 self.seen.setdefault(entry.key, {}).setdefault(name, self.fleet.clock.now())
 
-        line.on_change(taken)
+        timeline.on_change(taken)
 
     def counts(self) -> Counts:
         """Calls and bytes by kind, all members of a role together."""
@@ -94,8 +94,8 @@
         """Have a proxy mark an endpoint; the mark's key, and when."""
         edge = self.fleet.edges[turn % len(self.fleet.edges)]
         name = sorted(self.fleet.endpoints)[turn % len(self.fleet.endpoints)]
-        edge.node.daemon.marks.set(name, "test mark", edge.node.name)
-        return timeline.down_key(name), self.fleet.clock.now()
+        edge.node.daemon.marks.set_down(name, "test mark", edge.node.name)
+        return timelines.down_key(name), self.fleet.clock.now()
 
     def reached(self, told: list[tuple[str, float]]) -> Page:
         """From when something was said until each proxy knew of it."""
--- a/packages/scale/src/dykeswitch/scale/testbed.py
+++ b/packages/scale/src/dykeswitch/scale/testbed.py
@@ -97,7 +97,7 @@
         """Whether the proxy that is a process of its own is ready too."""
         try:
             for proxy in self.fleet.proxies:
-                reply = await self.fleet.machine.web.ask("GET", proxy.web, "/readyz", [], b"", 1.0)
+                reply = await self.fleet.machine.web.request("GET", proxy.web, "/readyz", [], b"", 1.0)
                 if reply.status != 200:
                     return False
         except (OSError, TimeoutError):
@@ -186,7 +186,7 @@
         }
 
     async def _page(self, address: str) -> dict[str, float]:
-        reply = await self.fleet.machine.web.ask("GET", address, "/-/counters", [], b"", 10)
+        reply = await self.fleet.machine.web.request("GET", address, "/-/counters", [], b"", 10)
         found: dict[str, float] = {}
         for line in reply.body.decode().splitlines():
             name, _, text = line.partition("{")
--- a/packages/scale/src/dykeswitch/scale/worker.py
+++ b/packages/scale/src/dykeswitch/scale/worker.py
@@ -21,7 +21,7 @@
 import dykeswitch.settings as settings
 import dykeswitch.standin.endpoint as endpoints
 import dykeswitch.standin.fleet as fleets
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 Spec = dict[str, typing.Any]
 Page = dict[str, typing.Any]
@@ -33,7 +33,7 @@
 class NoServer:
     """Stands for a web server that nobody calls."""
 
-    async def stop(self, grace: float) -> None:
+    async def stop(self, grace_s: float) -> None:
         """Nothing runs that would have to stop."""
         return None
 
@@ -60,9 +60,9 @@
         key = f"{self._name}_{way}_bytes"
         self._counts[key] = self._counts.get(key, 0) + size
 
-    async def read(self, most: int) -> bytes:
+    async def read(self, max_bytes: int) -> bytes:
         """Read and count."""
-        data = await self._connection.read(most)
+        data = await self._connection.read(max_bytes)
         self._add("got", len(data))
         return data
 
@@ -87,9 +87,9 @@
         self._net = net
         self.events: dict[str, int] = {}
 
-    async def dial(self, address: ports.Address, wait: float) -> ports.Connection:
+    async def connect(self, address: ports.Address, timeout_s: float) -> ports.Connection:
         """Connect, and count what is sent as heartbeats."""
-        return CountingConnection(await self._net.dial(address, wait), self.events, "beat")
+        return CountingConnection(await self._net.connect(address, timeout_s), self.events, "beat")
 
     async def listen(self, address: str, serve: ports.Serve) -> ports.Listener:
         """Listen, and count what comes as probes."""
@@ -121,12 +121,12 @@
         self.members: dict[str, proxies.Proxy] = {}
         machine = real.machine()._replace(web=NoWeb())
         for raw in spec["members"]:
-            bounds = settings.Settings(**{**raw, "seeds": tuple(raw["seeds"])})
-            log = logs.Log("proxy", bounds.name, "info", machine.clock)
-            log.hook = self._hook(bounds.name)
-            proxy = proxies.Proxy(bounds, machine, log, random.SystemRandom())
-            proxy.line.on_change(self._watch(bounds.name))
-            self.members[bounds.name] = proxy
+            config = settings.Settings(**{**raw, "seeds": tuple(raw["seeds"])})
+            log = logs.Log("proxy", config.name, "info", machine.clock)
+            log.hook = self._hook(config.name)
+            proxy = proxies.Proxy(config, machine, log, random.SystemRandom())
+            proxy.timeline.on_change(self._watch(config.name))
+            self.members[config.name] = proxy
 
     def _hook(self, name: str) -> typing.Callable[[dict[str, typing.Any]], None]:
         def told(line: dict[str, typing.Any]) -> None:
@@ -137,11 +137,11 @@
 
         return told
 
-    def _watch(self, name: str) -> typing.Callable[[timeline.Entry], None]:
-        def taken(entry: timeline.Entry) -> None:
-            if entry.kind == timeline.ENDPOINT and entry.fields["state"] == timeline.LEFT:
+    def _watch(self, name: str) -> typing.Callable[[timelines.Entry], None]:
+        def taken(entry: timelines.Entry) -> None:
+            if entry.kind == timelines.ENDPOINT and entry.fields["state"] == timelines.LEFT:
                 self._write(["left", time.monotonic(), name, entry.key])
-            elif entry.kind == timeline.MARK:
+            elif entry.kind == timelines.MARK:
                 self._write(["mark", time.monotonic(), name, entry.key])
 
         return taken
@@ -168,15 +168,18 @@
         if ask["do"] == "mark":
             proxy = self.members[ask["name"]]
             at = time.monotonic()
-            proxy.marks.set(ask["endpoint"], "test mark", ask["name"])
-            return {"at": at, "key": timeline.down_key(ask["endpoint"])}
+            proxy.marks.set_down(ask["endpoint"], "test mark", ask["name"])
+            return {"at": at, "key": timelines.down_key(ask["endpoint"])}
         counts: dict[str, int] = {}
         for proxy in self.members.values():
             for key, by in proxy.meter.counts.items():
                 counts[key] = counts.get(key, 0) + by
         unready = sum(1 for p in self.members.values() if p.ready() is not None)
-        lines = [p.line for p in self.members.values()]
-        held = {kind: sum(line.held(kind) for line in lines) / len(lines) for kind in timeline.KINDS}
+        member_timelines = [p.timeline for p in self.members.values()]
+        held = {
+            kind: sum(t.count(kind) for t in member_timelines) / len(member_timelines)
+            for kind in timelines.KINDS
+        }
         return {"counts": counts, "unready": unready, "frozen": self._frozen, "held": held}
 
 
@@ -213,7 +216,7 @@
     async def _beat(self, member: endpoints.Endpoint) -> None:
         # Endpoints that all beat at the same moment are no fleet.
         await asyncio.sleep(self._rng.random() * self._interval_s)
-        await member.beat_for_ever()
+        await member.send_heartbeats()
 
     async def handle(self, ask: Page) -> Page:
         """Have an endpoint leave, or give the counts."""
@@ -238,7 +241,7 @@
 
     def _bring(self, driver: str) -> ports.Serve:
         async def serve(connection: ports.Connection) -> None:
-            there = await self._net.dial(ports.address_of(driver), 1.0)
+            there = await self._net.connect(ports.address_of(driver), 1.0)
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._pump(connection, there))
                 group.create_task(self._pump(there, connection))
--- a/packages/settings/src/dykeswitch/settings/checks.py
+++ b/packages/settings/src/dykeswitch/settings/checks.py
@@ -57,7 +57,7 @@
     }
 
 
-def check(program: str, raw: typing.Mapping[str, object]) -> outcome.Good[Settings] | outcome.Bad:
+def check(program: str, raw: typing.Mapping[str, object]) -> outcome.Success[Settings] | outcome.Failure:
     """Settings for a program out of plain values, or every fault in them."""
     raw = renamed(raw)
     faults: list[str] = []
@@ -67,8 +67,8 @@
             faults.append(f"{name}: missing, and {program} needs it")
     faults += [*_address_faults(kept), *_number_faults(kept), *_choice_faults(kept)]
     if faults:
-        return outcome.bad("bad_settings", faults=tuple(faults))
-    return outcome.Good(Settings(**kept))
+        return outcome.failure("bad_settings", faults=tuple(faults))
+    return outcome.Success(Settings(**kept))
 
 
 def _known(raw: typing.Mapping[str, object], faults: list[str]) -> Values:
--- a/packages/settings/src/dykeswitch/settings/model.py
+++ b/packages/settings/src/dykeswitch/settings/model.py
@@ -53,29 +53,29 @@
         return self.recover_s / 3
 
     @property
-    def probe_every_s(self) -> float:
+    def probe_interval_s(self) -> float:
         """How often each endpoint is probed."""
         return self.mark_s
 
     @property
-    def probe_wait_s(self) -> float:
+    def probe_timeout_s(self) -> float:
         """How long a probe may take."""
         return self.mark_s / 5
 
     @property
-    def dial_s(self) -> float:
+    def connect_timeout_s(self) -> float:
         """How long opening a connection may take."""
         return self.drain_s / 4
 
     @property
-    def gap_s(self) -> float:
+    def clock_gap_s(self) -> float:
         """A gap in our own clock that counts as having been frozen."""
         return self.drain_s / 4
 
     @property
-    def tick_s(self) -> float:
+    def tick_interval_s(self) -> float:
         """How often our own clock is watched for a gap."""
-        return self.gap_s / 5
+        return self.clock_gap_s / 5
 
     @property
     def shuffle_s(self) -> float:
@@ -83,7 +83,7 @@
         return self.drain_s / 4
 
     @property
-    def call_s(self) -> float:
+    def call_timeout_s(self) -> float:
         """How long one call to a member may take."""
         return self.drain_s / 2
 
@@ -93,7 +93,7 @@
         return self.drain_s / 2
 
     @property
-    def sweep_s(self) -> float:
+    def sweep_interval_s(self) -> float:
         """How often what has run out is swept."""
         return self.drain_s / 4
 
@@ -103,57 +103,57 @@
         return self.recover_s * 60
 
     @property
-    def dead_s(self) -> float:
+    def dead_after_s(self) -> float:
         """Silence after which a registry is taken for dead."""
         return self.recover_s / 5
 
     @property
-    def swap_s(self) -> float:
+    def disk_replace_after_s(self) -> float:
         """Silence after which a seated disk gives way to a blank one that waits."""
         return min(self.recover_s / 5, self.catch_up_s / 4)
 
     @property
     def state_wait_s(self) -> float:
         """How long a store may take to tell its state before it counts as silent."""
-        return min(self.call_s, self.catch_up_s / 8)
+        return min(self.call_timeout_s, self.catch_up_s / 8)
 
     @property
     def handover_wait_s(self) -> float:
         """How long a stopping store waits for a sign that its vote is taken over."""
-        return min(self.sweep_s * 3, self.grace_s / 4)
+        return min(self.sweep_interval_s * 3, self.grace_s / 4)
 
     @property
-    def handover_most_s(self) -> float:
+    def max_handover_s(self) -> float:
         """How long a stopping store whose vote is being taken over goes on answering."""
         return self.grace_s * 0.75
 
     @property
-    def loan_s(self) -> float:
+    def loan_duration_s(self) -> float:
         """How long a loan of extra go's runs: longer than it takes to replace a lost lender."""
         return self.extra_window_s * 0.75
 
     @property
-    def spent_s(self) -> float:
-        """How long an extra go counts: a window, and within `gap_s` of being paid for it is sent."""
-        return self.extra_window_s + self.gap_s
+    def attempt_counts_s(self) -> float:
+        """How long an extra go counts: a window, and within `clock_gap_s` of being paid for it is sent."""
+        return self.extra_window_s + self.clock_gap_s
 
     @property
-    def lapse_s(self) -> float:
+    def loan_lapse_s(self) -> float:
         """How long after a loan's end its coins still count as out, with some slack for clocks."""
-        return self.spent_s + self.gap_s
+        return self.attempt_counts_s + self.clock_gap_s
 
     @property
-    def fence_s(self) -> float:
+    def fence_max_age_s(self) -> float:
         """The age up to which a majority's word on a fence is gone by."""
-        return self.dead_s
+        return self.dead_after_s
 
     @property
-    def inherit_s(self) -> float:
+    def takeover_wait_s(self) -> float:
         """How long a new lender waits: nothing that the old one lent can be out any more."""
-        return self.fence_s + self.loan_s + self.lapse_s
+        return self.fence_max_age_s + self.loan_duration_s + self.loan_lapse_s
 
     @property
-    def alone_s(self) -> float:
+    def isolated_after_s(self) -> float:
         """Silence of all others after which a proxy is not ready, and bids its callers go.
 
         The platform asks each second, so at `drain_s` of silence it has surely asked: from
--- a/packages/settings/src/dykeswitch/settings/sources.py
+++ b/packages/settings/src/dykeswitch/settings/sources.py
@@ -25,12 +25,12 @@
             flags.add_argument(*words, metavar="VALUE", help=f"default: {field.default!r}")
 
 
-def gather(program: str, spoken: argparse.Namespace) -> outcome.Good[Settings] | outcome.Bad:
+def gather(program: str, spoken: argparse.Namespace) -> outcome.Success[Settings] | outcome.Failure:
     """Settings from file and flags; a flag wins over the file."""
     raw: dict[str, object] = {}
     if spoken.settings:
         found = _read(spoken.settings)
-        if isinstance(found, outcome.Bad):
+        if isinstance(found, outcome.Failure):
             return found
         raw = renamed(found.value)
     faults: list[str] = []
@@ -46,21 +46,21 @@
         except ValueError:
             faults.append(f"{field.name}: '{text}' is not a number")
     result = check(program, raw)
-    if isinstance(result, outcome.Bad):
+    if isinstance(result, outcome.Failure):
         faults.extend(result.faults)
     if faults:
-        return outcome.bad("bad_settings", faults=tuple(faults))
+        return outcome.failure("bad_settings", faults=tuple(faults))
     return result
 
 
-def _read(path: str) -> outcome.Good[dict[str, object]] | outcome.Bad:
+def _read(path: str) -> outcome.Success[dict[str, object]] | outcome.Failure:
     """The values of a settings file, not yet checked."""
     try:
-        return outcome.Good(dict(tomllib.loads(pathlib.Path(path).read_text())))
+        return outcome.Success(dict(tomllib.loads(pathlib.Path(path).read_text())))
     except OSError as flaw:
-        return outcome.bad("bad_settings", faults=(f"{path}: {flaw.strerror}",))
+        return outcome.failure("bad_settings", faults=(f"{path}: {flaw.strerror}",))
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as flaw:
-        return outcome.bad("bad_settings", faults=(f"{path}: not TOML: {flaw}",))
+        return outcome.failure("bad_settings", faults=(f"{path}: not TOML: {flaw}",))
 
 
 def _value(kind: object, text: str) -> object:
--- a/packages/simulator/src/dykeswitch/simulator/exposure.py
+++ b/packages/simulator/src/dykeswitch/simulator/exposure.py
@@ -35,7 +35,9 @@
     Negative where a group has none by now.
     """
     stores = [core.store for core in fleet.cores]
-    voters = [s.daemon.voter for s in stores if s.up and s.daemon is not None and not s.daemon.voter.damaged]
+    voters = [
+        s.daemon.voter for s in stores if s.up and s.daemon is not None and not s.daemon.voter.disk_fault
+    ]
     if not voters:
         return -1
     members: register.MemberSet = max((v.members for v in voters), key=lambda held: held.epoch)
--- a/packages/simulator/src/dykeswitch/simulator/faults/beats.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/beats.py
@@ -16,7 +16,7 @@
 async def _post(stage: stages.Stage, page: Page) -> int:
     """Bring a beat that was under way for long to some registry; the status of its answer."""
     try:
-        reply = await stage.fleet.outside.web.ask(
+        reply = await stage.fleet.outside.web.request(
             "POST", stage.core().web, "/v1/beat", [], _packed(page), 1.0
         )
     except (OSError, TimeoutError):
@@ -30,7 +30,7 @@
 
 async def late_beats(stage: stages.Stage) -> None:
     """Two beats of five come up to two seconds late, in any order."""
-    with stage.natured(stage.live_endpoints(), late_share=0.4, late_s=2.0):
+    with stage.with_profile(stage.live_endpoints(), late_share=0.4, late_s=2.0):
         await asyncio.sleep(8.0)
 
 
@@ -75,10 +75,10 @@
     await asyncio.sleep(4.0)
     # At a light load the endpoints whose pace is known finish first, and rightly get it all:
     # only a press shows whether the fresh ones are known.
-    await stage.fleet.callers.burst(service, PRESS, PRESS_S)
+    await stage.fleet.clients.send_burst(service, PRESS, PRESS_S)
     for name in names:
-        if not stage.fleet.endpoints[name].hits:
-            stage.flaw(f"{name}, whose beats tell more, was sent nothing")
+        if not stage.fleet.endpoints[name].arrival_count:
+            stage.report_failure(f"{name}, whose beats tell more, was sent nothing")
 
 
 async def beat_overtaken(stage: stages.Stage) -> None:
@@ -91,7 +91,7 @@
     if await endpoint.drain():
         stage.fleet.left[name] = stage.now
     else:
-        stage.flaw(f"no registry took up that {name} drains")
+        stage.report_failure(f"no registry took up that {name} drains")
     # It beats no more by itself: only older words come.
     endpoint.beating = False
     for page in pages:
--- a/packages/simulator/src/dykeswitch/simulator/faults/connections.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/connections.py
@@ -12,10 +12,10 @@
     async def act(stage: stages.Stage) -> None:
         services = stage.fleet.shape.services
         names = [name for s in services for name in stage.some_of(s.name, part)]
-        with stage.natured(names, tells=True, **changes):
+        with stage.with_profile(names, tells=True, **changes):
             # Bursts with gaps between them: pipes are opened, lie idle, and are wanted again.
             for _ in range(3):
-                await asyncio.gather(*(stage.fleet.callers.burst(s, 20, 0.1) for s in services))
+                await asyncio.gather(*(stage.fleet.clients.send_burst(s, 20, 0.1) for s in services))
                 await asyncio.sleep(span / 3)
 
     return act
--- a/packages/simulator/src/dykeswitch/simulator/faults/control.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/control.py
@@ -38,7 +38,9 @@
             stage.note(f"{core.registry.name} current {stage.now - begun:.2f} s after it was back")
             return
         await asyncio.sleep(0.02)
-    stage.flaw(f"{core.registry.name} did not hold version {due} within {WHOLE_S:.0f} s of {begun:.2f}")
+    stage.report_failure(
+        f"{core.registry.name} did not hold version {due} within {WHOLE_S:.0f} s of {begun:.2f}"
+    )
 
 
 def _held_version(core: machines.Core) -> int:
@@ -55,7 +57,7 @@
     voter = daemon.voter
     ask = {"key": documents.LAYOUT, "disk": voter.disk_id, "epoch": voter.members.epoch}
     result = await voter.kinds()["read"](ask)
-    return int(result.value["version"]) if isinstance(result, outcome.Good) else 0
+    return int(result.value["version"]) if isinstance(result, outcome.Success) else 0
 
 
 async def _orders_until(stage: stages.Stage, operator: operators.Operator, end: float) -> None:
@@ -77,7 +79,7 @@
     try:
         await asyncio.gather(*work)
     except operators.UnsettledError as flaw:
-        stage.flaw(str(flaw))
+        stage.report_failure(str(flaw))
 
 
 Ways = typing.Literal["both", "in", "out"]
@@ -90,9 +92,9 @@
         core = stage.core()
         others = [n for c in stage.fleet.cores if c is not core for n in c.names()]
         if ways in ("both", "out"):
-            stage.wires.cut(core.names(), others, both=False)
+            stage.links.cut(core.names(), others, both=False)
         if ways in ("both", "in"):
-            stage.wires.cut(others, core.names(), both=False)
+            stage.links.cut(others, core.names(), both=False)
         end = stage.now + CUT_S
         operator = stage.operator(lost_answers=0.1)
         edge = stage.edge()
@@ -102,7 +104,7 @@
             # A proxy that starts amid the cut and reaches the cut-off core alone.
             await asyncio.sleep(CUT_S / 3)
             edge.node.kill()
-            stage.wires.cut([edge.node.name], others + stage.edge_names())
+            stage.links.cut([edge.node.name], others + stage.edge_names())
             # Down for as long as the platform takes to send its callers elsewhere.
             await asyncio.sleep(stages.PLATFORM_S)
             edge.node.restart()
@@ -113,8 +115,8 @@
             _reads_until(stage, core, end),
             restart_edge(),
         )
-        stage.wires.heal()
-        stage.gone([edge], begun)
+        stage.links.heal()
+        stage.mark_gone([edge], begun)
         await _current(stage, core)
         await stage.fleet.get(core)
 
@@ -130,7 +132,7 @@
     begun = stage.now
     for edge in herd:
         edge.node.kill()
-    stage.wires.cut(inside, sorted(others))
+    stage.links.cut(inside, sorted(others))
     # Down for as long as the platform takes to send their callers elsewhere.
     await asyncio.sleep(stages.PLATFORM_S)
     for node in [core.registry] + [edge.node for edge in herd]:
@@ -138,9 +140,9 @@
     await _settled(stage, _orders_until(stage, stage.operator(lost_answers=0.1), stage.now + JOINT_CUT_S))
     early = [edge.node.name for edge in herd if _ready(edge)]
     if early:
-        stage.flaw(f"{early} were ready, and reached no majority since they started")
-    stage.wires.heal()
-    stage.gone(herd, begun)
+        stage.report_failure(f"{early} were ready, and reached no majority since they started")
+    stage.links.heal()
+    stage.mark_gone(herd, begun)
     await stage.fleet.until(lambda: all(map(_ready, herd)), histories.RECOVER_S, "ready after the cut")
     await _current(stage, core)
 
@@ -179,9 +181,9 @@
 async def _change_held_by_few(stage: stages.Stage, core: machines.Core) -> None:
     """A change by one core while the other stores are far away: it is confirmed by the fewest."""
     far = [other.store.name for other in stage.fleet.cores if other is not core]
-    stage.wires.slow = dict.fromkeys(far, FAR_S)
+    stage.links.slow = dict.fromkeys(far, FAR_S)
     await stage.change(core)
-    stage.wires.slow = {}
+    stage.links.slow = {}
 
 
 async def second_loss(stage: stages.Stage) -> None:
@@ -193,7 +195,7 @@
         for node in (first.store, first.registry):
             node.lose_power()
         fresh = _replace(stage, first)
-        await stage.seated()
+        await stage.wait_until_all_vote()
         # Whoever was seated just now, or has been there all along: either may be the next.
         await asyncio.sleep(stage.rng.choice((0.0, 0.05, 0.3)))
         victim = stage.rng.choice((second, fresh))
@@ -202,7 +204,7 @@
             node.lose_power()
         await _settled(stage, _change_once(operator))
         _replace(stage, victim)
-        await stage.seated()
+        await stage.wait_until_all_vote()
         await _settled(stage, _change_once(operator))
 
 
@@ -212,20 +214,20 @@
         leaving, second = stage.rng.sample(stage.fleet.cores, 2)
         # What it alone holds it may not confirm.
         far = [other.store.name for other in stage.fleet.cores if other is not leaving]
-        stage.wires.cut([leaving.registry.name], far)
+        stage.links.cut([leaving.registry.name], far)
         await stage.change(leaving)
         for node in (leaving.registry, leaving.store):
             await stage.stop(node)
-        stage.wires.heal()
+        stage.links.heal()
         _replace(stage, leaving)
-        await stage.seated()
+        await stage.wait_until_all_vote()
         for node in (second.store, second.registry):
             node.lose_power()
         await _settled(stage, _change_once(stage.operator()))
         second.store.wipe()
         for node in (second.store, second.registry):
             node.restart()
-        await stage.seated()
+        await stage.wait_until_all_vote()
 
 
 async def _change_once(operator: operators.Operator) -> None:
@@ -254,7 +256,7 @@
     await some(1 / 6)
     for node in (wiped.store, wiped.registry):
         node.restart()
-    await stage.seated()
+    await stage.wait_until_all_vote()
     await _current(stage, wiped)
     for node in (frozen.store, frozen.registry):
         node.freeze()
@@ -274,7 +276,9 @@
         for folder in sorted((core.store.disk.root / "register").iterdir()):
             kept = [path.name for path in folder.iterdir()]
             if len(kept) > GENERATIONS_MOST:
-                stage.flaw(f"{core.store.name} keeps {len(kept)} generations of one record: {sorted(kept)}")
+                stage.report_failure(
+                    f"{core.store.name} keeps {len(kept)} generations of one record: {sorted(kept)}"
+                )
 
 
 async def late_answers(stage: stages.Stage) -> None:
@@ -284,17 +288,17 @@
     edges = stage.edge_names()
     for turn in range(len(LATE_FAULTS)):
         names = [name for s in services for name in stage.some_of(s.name, 0.3)]
-        with stage.natured(names, pace=4.0), stage.planned(names, LATE_FAULTS[turn], 0.3):
-            pressing = [asyncio.create_task(fleet.callers.burst(s, 30, 0.2)) for s in services]
+        with stage.with_profile(names, pace=4.0), stage.with_fault_plan(names, LATE_FAULTS[turn], 0.3):
+            pressing = [asyncio.create_task(fleet.clients.send_burst(s, 30, 0.2)) for s in services]
             await asyncio.sleep(0.1)
             # Silence: what both sides say waits on the wire until the cut is healed.
-            stage.wires.cut(names, edges, both=turn != 1)
+            stage.links.cut(names, edges, both=turn != 1)
             await asyncio.sleep(2.5)
-            stage.wires.heal()
+            stage.links.heal()
             await asyncio.sleep(0.05)
             for name in names[::2]:
-                stage.wires.reset_host(name)
-            pressing += [asyncio.create_task(fleet.callers.burst(s, 20, 0.5)) for s in services]
+                stage.links.reset_host(name)
+            pressing += [asyncio.create_task(fleet.clients.send_burst(s, 20, 0.5)) for s in services]
             await asyncio.gather(*pressing)
         await asyncio.sleep(1.0)
 
--- a/packages/simulator/src/dykeswitch/simulator/faults/cores.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/cores.py
@@ -30,7 +30,7 @@
     old.registry.lose_power()
     await asyncio.sleep(stage.rng.uniform(0.0, 4.0))
     core = stage.new_core(old)
-    await stage.seated()
+    await stage.wait_until_all_vote()
     await fleet.get(core)
 
 
@@ -70,7 +70,7 @@
     names = [n for c in others for n in c.names()]
     edge = stage.rng.choice(stage.up_edges())
     rest = [e.node.name for e in stage.fleet.edges if e is not edge]
-    stage.wires.cut(core.names(), names + rest, both=stage.rng.random() < 0.7)
+    stage.links.cut(core.names(), names + rest, both=stage.rng.random() < 0.7)
     # Nobody carries news of the change to the core that is apart.
     begun = stage.now
     edge.node.kill()
@@ -80,12 +80,12 @@
     )
     stage.note(f"cut core said {one.status}, others said {two.status}")
     # A proxy that restarts now may reach only the core that lags.
-    stage.wires.cut([edge.node.name], names + stage.edge_names())
+    stage.links.cut([edge.node.name], names + stage.edge_names())
     edge.node.restart()
-    stage.gone([edge], begun)
+    stage.mark_gone([edge], begun)
     await asyncio.sleep(3.0)
     await stage.fleet.get(core, wait=3.0)
-    stage.wires.heal()
+    stage.links.heal()
     await asyncio.sleep(2.0)
     await stage.fleet.get(core)
 
@@ -96,11 +96,11 @@
     for one in names:
         for two in names:
             if one is not two:
-                stage.wires.cut(one, two)
+                stage.links.cut(one, two)
     await asyncio.sleep(0.5)
     await stage.fleet.put(stage.layout(), stage.core(), wait=3.0)
     await asyncio.sleep(3.0)
-    stage.wires.heal()
+    stage.links.heal()
     await asyncio.sleep(2.0)
     await stage.fleet.get(stage.core())
 
@@ -133,11 +133,11 @@
     core = stage.new_core(old)
     await asyncio.sleep(stage.rng.uniform(2.5, 5.0))
     one = stage.rng.choice([c for c in fleet.cores if c is not core])
-    stage.wires.cut(one.names(), [n for c in fleet.cores if c is not one for n in c.names()])
+    stage.links.cut(one.names(), [n for c in fleet.cores if c is not one for n in c.names()])
     await asyncio.sleep(stage.rng.uniform(0.2, 3.0))
     await fleet.put(stage.layout(), core, wait=3.0)
-    stage.wires.heal()
-    await stage.seated()
+    stage.links.heal()
+    await stage.wait_until_all_vote()
     await fleet.get(one)
 
 
@@ -150,7 +150,7 @@
         # While one seed of old is left it is enough; the last to come is told who is there.
         left = [c for c in stage.fleet.cores if c is not core and not c.registry.name.startswith("core-new")]
         stage.new_core(core, () if left else tuple(c.member for c in stage.fleet.cores))
-        await stage.seated()
+        await stage.wait_until_all_vote()
     herd = stage.rng.sample(stage.up_edges(), 3)
     begun = stage.now
     for edge in herd:
@@ -159,12 +159,12 @@
     await asyncio.sleep(15.0)
     for edge in herd:
         edge.node.restart()
-    stage.gone(herd, begun)
+    stage.mark_gone(herd, begun)
     try:
         took = await stage.fleet.until(lambda: all(_ready(e) for e in herd), 15, "ready with old seeds")
         stage.note(f"proxies with only old seeds ready after {took:.2f} s")
     except TimeoutError:
-        stage.flaw("a proxy whose seeds are all gone was not ready again within 15 s")
+        stage.report_failure("a proxy whose seeds are all gone was not ready again within 15 s")
 
 
 def _ready(edge: typing.Any) -> bool:
@@ -190,7 +190,7 @@
     for other in others:
         other.store.restart()
         other.registry.restart()
-    await stage.seated()
+    await stage.wait_until_all_vote()
     await fleet.get(core)
 
 
@@ -227,7 +227,7 @@
     sick = stage.rng.choice(stage.live_endpoints())
     plan = stage.fleet.endpoints[sick].plan
     plan.fault, plan.probe_too = "status_502", True
-    node.points.armed[21] = node.freeze
+    node.fault_points.armed[21] = node.freeze
     await stage.fleet.until(lambda: bool(node.host.frozen), 10, "a result in hand")
     plan.fault, plan.probe_too = "none", False
     others = [c.registry for c in stage.fleet.cores if c is not core]
@@ -239,7 +239,7 @@
     try:
         await stage.fleet.until(moved, 12, "the duty handed over")
     except TimeoutError:
-        stage.flaw("a frozen registry's probe duty was not taken over")
+        stage.report_failure("a frozen registry's probe duty was not taken over")
     await asyncio.sleep(1.0)
     node.thaw()
     # The result it held is of an age ago: nobody may believe it.
@@ -247,10 +247,10 @@
     wrong = [
         e.node.name
         for e in stage.up_edges()
-        if (mark := e.node.daemon.marks.down(sick)) is not None and mark.fields["by"] == node.name
+        if (mark := e.node.daemon.marks.mark_of(sick)) is not None and mark.fields["by"] == node.name
     ]
     if wrong:
-        stage.flaw(f"{wrong} believe a result that lay in a frozen registry's hand")
+        stage.report_failure(f"{wrong} believe a result that lay in a frozen registry's hand")
     await asyncio.sleep(2.0)
 
 
@@ -274,7 +274,7 @@
     await asyncio.sleep(1.0)
     for node in [c.registry for c in fleet.cores] + [e.node for e in herd]:
         node.restart()
-    stage.gone(herd, begun + 4.0)
+    stage.mark_gone(herd, begun + 4.0)
     await asyncio.sleep(10.0)
     # One lender is frozen until others have its part, and wakes with its book.
     frozen = stage.core().registry
@@ -285,10 +285,10 @@
     core = stage.core()
     others = [n for c in fleet.cores if c is not core for n in c.names()]
     near = [e.node.name for e in stage.up_edges()[:3]]
-    stage.wires.cut(core.names(), others)
-    stage.wires.cut(near, others)
+    stage.links.cut(core.names(), others)
+    stage.links.cut(near, others)
     await asyncio.sleep(6.0)
-    stage.wires.heal()
+    stage.links.heal()
     await asyncio.sleep(2.0)
     for name in names:
         fleet.endpoints[name].plan.fault = "none"
--- a/packages/simulator/src/dykeswitch/simulator/faults/disks.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/disks.py
@@ -17,7 +17,7 @@
     core.store.wipe()
     await asyncio.sleep(1.0)
     core.store.restart()
-    await stage.seated()
+    await stage.wait_until_all_vote()
     await stage.fleet.get(core)
 
 
@@ -44,13 +44,13 @@
     for _ in range(3):
         await stage.change()
     await stage.fleet.get(stage.core())
-    if core.store.daemon.voter.damaged != why:
-        stage.flaw(f"a store on a disk that said '{why}' goes on voting")
+    if core.store.daemon.voter.disk_fault != why:
+        stage.report_failure(f"a store on a disk that said '{why}' goes on voting")
     await asyncio.sleep(1.0)
     core.store.kill()
     disk.spoilt.clear()
     core.store.restart()
-    await stage.seated()
+    await stage.wait_until_all_vote()
     await stage.change(core)
     await stage.fleet.get(core)
 
@@ -68,8 +68,8 @@
     await asyncio.sleep(max(0.0, begun + STALL_S - stage.fleet.clock.now()))
     disk.flow()
     await stage.change(core)
-    if core.store.daemon.voter.damaged:
-        stage.flaw("a store whose disk goes on does not vote")
+    if core.store.daemon.voter.disk_fault:
+        stage.report_failure("a store whose disk goes on does not vote")
     await stage.fleet.get(core)
 
 
@@ -86,14 +86,14 @@
         path.write_bytes(bytes(data))
     core.store.restart()
     await asyncio.sleep(1.0)
-    if "Damage" not in core.store.flaw:
-        stage.flaw("a store took up a damaged file")
+    if "StorageDamageError" not in core.store.crash:
+        stage.report_failure("a store took up a damaged file")
     # That it ended by itself is what was asked for here.
-    core.store.flaw = ""
+    core.store.crash = ""
     await stage.change()
     core.store.wipe()
     core.store.restart()
-    await stage.seated()
+    await stage.wait_until_all_vote()
     await stage.fleet.get(core)
 
 
--- a/packages/simulator/src/dykeswitch/simulator/faults/endpoints.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/endpoints.py
@@ -94,7 +94,7 @@
         at = stage.now
         await asyncio.sleep(span / 2)
         edge.node.restart()
-        stage.gone([edge], at)
+        stage.mark_gone([edge], at)
         await asyncio.sleep(span / 2)
     for name in stage.live_endpoints(service.name):
         stage.fleet.endpoints[name].plan.fault = "none"
--- a/packages/simulator/src/dykeswitch/simulator/faults/full.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/full.py
@@ -6,7 +6,7 @@
 import typing
 
 import dykeswitch.simulator.stage as stages
-import dykeswitch.standin.nature as natures
+import dykeswitch.standin.nature as profiles
 import dykeswitch.standin.shape as shapes
 
 # How many requests come to press on a service, over how many seconds, and for each second
@@ -29,10 +29,10 @@
             for service in services:
                 names = stage.some_of(service.name, 1 / 3)
                 pace = _pace(service, names, DONE / 3)
-                few = stage.natured(names, slots=1, queue=1, full=full, pace=pace, tells=True)
+                few = stage.with_profile(names, slots=1, queue=1, full=full, pace=pace, tells=True)
                 stack.enter_context(few)
             for _ in range(2):
-                await asyncio.gather(*(stage.fleet.callers.burst(s, *PRESS) for s in services))
+                await asyncio.gather(*(stage.fleet.clients.send_burst(s, *PRESS) for s in services))
                 await asyncio.sleep(1.5)
 
     return act
@@ -46,10 +46,10 @@
         names = stage.live_endpoints(service.name)
         pace = _pace(service, names, DONE)
         with (
-            stage.natured(names, slots=1, queue=1, full=full, pace=pace, tells=True),
+            stage.with_profile(names, slots=1, queue=1, full=full, pace=pace, tells=True),
             stage.failing(service.name),
         ):
-            await stage.fleet.callers.burst(service, *PRESS)
+            await stage.fleet.clients.send_burst(service, *PRESS)
             await asyncio.sleep(1.0)
 
     return act
@@ -60,22 +60,24 @@
     service = dataclasses.replace(stage.any_service(), expiry_s=1.0)
     names = stage.live_endpoints(service.name)
     with (
-        stage.natured(names, slots=1, queue=30, pace=_pace(service, names, DONE), tells=True, stops=True),
+        stage.with_profile(
+            names, slots=1, queue=30, pace=_pace(service, names, DONE), tells=True, stops=True
+        ),
         stage.failing(service.name),
     ):
-        await stage.fleet.callers.burst(service, *PRESS)
+        await stage.fleet.clients.send_burst(service, *PRESS)
         await asyncio.sleep(2.0)
 
 
 async def unequal(stage: stages.Stage) -> None:
     """Every endpoint at a speed of its own, slower when pressed, its work spread far."""
     names = stage.live_endpoints()
-    with stage.natured(names, slots=2, queue=8, press=2.0, spread=0.6, tells=True):
+    with stage.with_profile(names, slots=2, queue=8, press=2.0, spread=0.6, tells=True):
         for name in names:
             endpoint = stage.fleet.endpoints[name]
-            endpoint.nature = endpoint.nature.drawn(stage.rng)
+            endpoint.profile = endpoint.profile.drawn(stage.rng)
         for service in stage.fleet.shape.services:
-            await stage.fleet.callers.burst(service, 15, 1.0)
+            await stage.fleet.clients.send_burst(service, 15, 1.0)
         await asyncio.sleep(4.0)
 
 
@@ -93,24 +95,24 @@
     """Probes wait for a slot as requests do, and cost work."""
     service = stage.any_service()
     names = stage.live_endpoints(service.name)
-    with stage.natured(names, slots=2, queue=8, probe_s=0.1, tells=True):
+    with stage.with_profile(names, slots=2, queue=8, probe_s=0.1, tells=True):
         await asyncio.sleep(6.0)
 
 
 async def long_queue(stage: stages.Stage) -> None:
     """One endpoint lets many wait, at a tenth of its speed, and gives up what nobody waits for."""
     service = stage.any_service()
-    with stage.natured(stage.some_of(service.name, 0.1), slots=1, queue=60, pace=10.0, drops=True):
+    with stage.with_profile(stage.some_of(service.name, 0.1), slots=1, queue=60, pace=10.0, drops=True):
         await asyncio.sleep(7.0)
 
 
 FAULTS: typing.Final[dict[str, stages.Fault]] = {
-    "few_slots": few_slots(natures.REFUSE),
-    "few_slots_reset": few_slots(natures.RESET),
-    "few_slots_hang": few_slots(natures.HANG),
-    "all_full": all_full(natures.REFUSE),
-    "all_full_reset": all_full(natures.RESET),
-    "all_full_hang": all_full(natures.HANG),
+    "few_slots": few_slots(profiles.REFUSE),
+    "few_slots_reset": few_slots(profiles.RESET),
+    "few_slots_hang": few_slots(profiles.HANG),
+    "all_full": all_full(profiles.REFUSE),
+    "all_full_reset": all_full(profiles.RESET),
+    "all_full_hang": all_full(profiles.HANG),
     "late_in_queue": late_in_queue,
     "unequal": unequal,
     "warm_up": warm_up,
--- a/packages/simulator/src/dykeswitch/simulator/faults/garbage.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/garbage.py
@@ -18,9 +18,9 @@
     async def act(stage: stages.Stage) -> None:
         services = stage.fleet.shape.services
         names = [name for s in services for name in stage.some_of(s.name, part)]
-        with stage.planned(names, fault, share, **more):
+        with stage.with_fault_plan(names, fault, share, **more):
             for _ in range(TURNS):
-                await asyncio.gather(*(stage.fleet.callers.burst(s, *BURST) for s in services))
+                await asyncio.gather(*(stage.fleet.clients.send_burst(s, *BURST) for s in services))
                 await asyncio.sleep(1.0)
 
     return act
