--- a/packages/simulator/src/dykeswitch/simulator/faults/grey.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/grey.py
@@ -18,7 +18,7 @@
 
     async def act(stage: stages.Stage) -> None:
         names = stage.some_of(stage.any_service().name, 1 / 3)
-        with stage.planned(names, fault, probe_too=True, probe_only=True):
+        with stage.with_fault_plan(names, fault, probe_too=True, probe_only=True):
             await asyncio.sleep(6.0)
 
     return act
@@ -28,7 +28,9 @@
     """Two change between well and failing, each faster than a mark runs out."""
     names = stage.rng.sample(stage.live_endpoints(stage.any_service().name), 2)
     for _ in range(8):
-        with stage.planned(names, stage.rng.choice(("status_503", "reset", "status_500")), probe_too=True):
+        with stage.with_fault_plan(
+            names, stage.rng.choice(("status_503", "reset", "status_500")), probe_too=True
+        ):
             await asyncio.sleep(0.4)
         await asyncio.sleep(0.6)
 
@@ -39,7 +41,7 @@
     services = fleet.shape.services
     for _ in range(2):
         names = [name for s in services for name in stage.some_of(s.name, 1 / 3)]
-        pressing = [asyncio.create_task(fleet.callers.burst(s, 30, 0.05)) for s in services]
+        pressing = [asyncio.create_task(fleet.clients.send_burst(s, 30, 0.05)) for s in services]
         await asyncio.sleep(0.04)
         for name in names:
             fleet.kill_endpoint(name)
@@ -57,13 +59,13 @@
     await asyncio.sleep(2.5)
     for name in old:
         endpoint = stage.fleet.endpoints[name]
-        await stage.fleet.callers.burst(service, beats.PRESS, beats.PRESS_S)
-        if not endpoint.hits:
-            stage.flaw(f"{name}, whose beats tell more, was sent nothing")
+        await stage.fleet.clients.send_burst(service, beats.PRESS, beats.PRESS_S)
+        if not endpoint.arrival_count:
+            stage.report_failure(f"{name}, whose beats tell more, was sent nothing")
         if await endpoint.drain():
             stage.fleet.left[name] = stage.now
         else:
-            stage.flaw(f"no registry took up that {name} drains")
+            stage.report_failure(f"no registry took up that {name} drains")
         await asyncio.sleep(SERVES_ON_S)
         await stage.fleet.drain_endpoint(name, 0.1)
 
--- a/packages/simulator/src/dykeswitch/simulator/faults/identity.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/identity.py
@@ -25,12 +25,12 @@
     one, two = stage.rng.sample(fleet.shape.services, 2)
     name = stage.rng.choice(stage.live_endpoints(one.name))
     # Pipes that were used just now need no fresh proof.
-    await fleet.callers.burst(one, 40, 0.1)
+    await fleet.clients.send_burst(one, 40, 0.1)
     endpoint = fleet.endpoints[name]
     endpoint.beating = False
     endpoint.name, endpoint.service = f"{name}-turned", two.name
     fleet.endpoints[endpoint.name] = endpoint
-    await fleet.callers.burst(one, 40, 0.3)
+    await fleet.clients.send_burst(one, 40, 0.3)
     await asyncio.sleep(1.0)
     fleet.kill_endpoint(name)
     # From now on it is known by what it turned into, and its first name by what it was.
@@ -43,10 +43,10 @@
     """Each request names the endpoint that it is meant for: then no other runs it."""
     endpoints = stage.fleet.endpoints
     before = {name: e.counts["unnamed"] for name, e in endpoints.items()}
-    await asyncio.gather(*(stage.fleet.callers.burst(s, 30, 0.5) for s in stage.fleet.shape.services))
+    await asyncio.gather(*(stage.fleet.clients.send_burst(s, 30, 0.5) for s in stage.fleet.shape.services))
     unnamed = sum(e.counts["unnamed"] - before.get(name, 0) for name, e in endpoints.items())
     if unnamed:
-        stage.flaw(f"{unnamed} requests did not name the endpoint that they were meant for")
+        stage.report_failure(f"{unnamed} requests did not name the endpoint that they were meant for")
 
 
 FAULTS: typing.Final[dict[str, stages.Fault]] = {
--- a/packages/simulator/src/dykeswitch/simulator/faults/operators.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/operators.py
@@ -39,7 +39,7 @@
     page = await stage.fleet.query(f'pause {name} for 14s because "new disk"', stage.core())
     begun = stage.now
     if page is None or not any(row[1] == name for row in page["rows"]):
-        stage.flaw("a planned pause was not taken")
+        stage.report_failure("a planned pause was not taken")
         return
     # What is left of the fourteen seconds, less a little for the road.
     stage.story.paused.append(histories.Span(name, begun, begun + 13.0))
@@ -50,11 +50,11 @@
         core.registry.clock.jump = 0.0
     page = await stage.fleet.query("show pauses", stage.core())
     if page is None or not any(row[1] == name for row in page["rows"]):
-        stage.flaw("a planned pause was lost by the restart of all cores")
+        stage.report_failure("a planned pause was lost by the restart of all cores")
     await asyncio.sleep(6.0)
     still = [e.node.name for e in stage.up_edges() if e.node.daemon.paused(name)]
     if still:
-        stage.flaw(f"{still} still held the pause after its end")
+        stage.report_failure(f"{still} still held the pause after its end")
 
 
 async def large_layout(stage: stages.Stage) -> None:
@@ -76,13 +76,13 @@
     page = await stage.fleet.query(f'pause {name} for 6s because "new disk"', core)
     begun = stage.now
     if page is None or not any(row[1] == name for row in page["rows"]):
-        stage.flaw("a planned pause was not taken")
+        stage.report_failure("a planned pause was not taken")
         return
     stage.story.paused.append(histories.Span(name, begun, begun + 5.0))
     await asyncio.sleep(8.5)
     still = [e.node.name for e in stage.up_edges() if e.node.daemon.paused(name)]
     if still:
-        stage.flaw(f"{still} still held the pause after its end")
+        stage.report_failure(f"{still} still held the pause after its end")
     core.registry.clock.jump = 0.0
 
 
@@ -105,7 +105,7 @@
     await stage.fleet.get(stage.core())
 
 
-async def _again(stage: stages.Stage, put: observations.Put) -> observations.Put:
+async def _again(stage: stages.Stage, put: observations.LayoutPut) -> observations.LayoutPut:
     """The very same layout once more, by another registry if there is one."""
     doc = json.loads(put.body)
     for _ in range(10):
@@ -113,7 +113,7 @@
         if more.status not in (0, 503, 504):
             return more
         await asyncio.sleep(0.3)
-    stage.flaw("a repeat did not settle an unknown outcome")
+    stage.report_failure("a repeat did not settle an unknown outcome")
     return put
 
 
@@ -123,13 +123,13 @@
     doc = stage.layout()
     asking = asyncio.create_task(stage.fleet.put(doc, core, wait=1.5))
     await asyncio.sleep(0.004)
-    stage.wires.cut([core.registry.name], ["outside"], both=False)
+    stage.links.cut([core.registry.name], ["outside"], both=False)
     put = await asking
-    stage.wires.heal()
+    stage.links.heal()
     more = await _again(stage, put)
     got = await stage.fleet.get(stage.core())
     if more.status == 200 and got.status == 200 and got.version != more.version:
-        stage.flaw(f"a repeat was told {more.version}, and {got.version} stands")
+        stage.report_failure(f"a repeat was told {more.version}, and {got.version} stands")
     await asyncio.sleep(1.0)
 
 
@@ -141,9 +141,9 @@
         proposers.POINT_AFTER_ACCEPT,
     ):
         core = stage.core()
-        core.registry.points.armed[point] = core.registry.kill
+        core.registry.fault_points.armed[point] = core.registry.kill
         put = await stage.fleet.put(stage.layout(), core, wait=1.5)
-        core.registry.points.armed.clear()
+        core.registry.fault_points.armed.clear()
         await stage.fleet.get(stage.core())
         core.registry.restart()
         await _again(stage, put)
--- a/packages/simulator/src/dykeswitch/simulator/faults/proxies.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/proxies.py
@@ -14,7 +14,7 @@
     edge.node.kill()
     await asyncio.sleep(1.0)
     edge.node.restart()
-    stage.gone([edge], begun)
+    stage.mark_gone([edge], begun)
     await asyncio.sleep(2.0)
 
 
@@ -27,7 +27,7 @@
     await asyncio.sleep(1.5)
     for edge in herd:
         edge.node.restart()
-    stage.gone(herd, begun)
+    stage.mark_gone(herd, begun)
     await asyncio.sleep(3.0)
 
 
@@ -47,8 +47,8 @@
     services = stage.fleet.shape.services
     reading = next(s for s in services if not s.writing)
     writing = next(s for s in services if s.writing)
-    asks = [
-        asyncio.create_task(stage.fleet.callers.ask(service, edge.web, f"&work={span}"))
+    requests = [
+        asyncio.create_task(stage.fleet.clients.send_request(service, edge.web, f"&work={span}"))
         for service in (reading, writing)
         for span in (3, 5, 8)
     ]
@@ -56,16 +56,18 @@
     begun = stage.now
     await stage.stop(edge.node)
     stage.story.stops.append(histories.Span(edge.web, begun, stage.now))
-    done = await asyncio.gather(*asks)
-    for ask, span in zip(done, (3, 5, 8, 3, 5, 8)):
-        stage.story.rude.add(ask.name)
+    done = await asyncio.gather(*requests)
+    for request, span in zip(done, (3, 5, 8, 3, 5, 8)):
+        stage.story.ignoring_readiness.add(request.name)
         want = [(200, 0, False)] if span < 8 else [(504, 109, False)]
         # A reading go may give up on one endpoint for the sake of another try.
-        if span == 5 and not ask.writing:
+        if span == 5 and not request.writing:
             want.append((504, 109, False))
-        if (ask.status, ask.result, ask.retry_after) not in want:
-            got = f"{ask.status} {ask.result} {ask.retry_after} {ask.flaw}"
-            stage.flaw(f"work of {span} s (writing {ask.writing}) over an orderly stop got {got}")
+        if (request.status, request.result, request.retry_after) not in want:
+            got = f"{request.status} {request.result} {request.retry_after} {request.error}"
+            stage.report_failure(
+                f"work of {span} s (writing {request.writing}) over an orderly stop got {got}"
+            )
     edge.node.restart()
     await asyncio.sleep(2.0)
 
@@ -75,7 +77,7 @@
     edge = stage.edge()
     begun = stage.now
     edge.node.freeze()
-    holding = asyncio.create_task(stage.hold_on(edge, 8.0))
+    holding = asyncio.create_task(stage.keep_sending(edge, 8.0))
     await asyncio.sleep(1.0)
     await stage.change()
     leaving = stage.rng.choice(stage.live_endpoints())
@@ -83,7 +85,7 @@
     stage.new_endpoint(service, stage.fleet.world.address())
     await stage.fleet.drain_endpoint(leaving, 4.0)
     edge.node.thaw()
-    stage.gone([edge], begun)
+    stage.mark_gone([edge], begun)
     await holding
     await asyncio.sleep(2.0)
 
@@ -98,15 +100,15 @@
     await stage.change()
     for edge in herd:
         edge.node.thaw()
-    stage.gone(herd, begun)
+    stage.mark_gone(herd, begun)
     await asyncio.sleep(3.0)
 
 
 async def isolate_proxy(stage: stages.Stage) -> None:
     """Cut off from every other node, while callers hold on to it, a rule moves, one leaves."""
     edge = stage.edge()
-    stage.wires.cut([edge.node.name], stage.core_names() + stage.edge_names())
-    holding = asyncio.create_task(stage.hold_on(edge, 9.0))
+    stage.links.cut([edge.node.name], stage.core_names() + stage.edge_names())
+    holding = asyncio.create_task(stage.keep_sending(edge, 9.0))
     await asyncio.sleep(0.5)
     await stage.change()
     # One that this proxy would select: near ones go first.
@@ -116,7 +118,7 @@
     service = stage.shape_of(stage.fleet.endpoints[leaving].service)
     stage.new_endpoint(service, stage.fleet.world.address())
     await stage.fleet.drain_endpoint(leaving, 4.0)
-    stage.wires.heal()
+    stage.links.heal()
     await holding
     await asyncio.sleep(1.0)
 
@@ -124,11 +126,11 @@
 async def cut_proxies_from_cores(stage: stages.Stage) -> None:
     """Half the proxies lose every core but still reach the other half."""
     edges = stage.rng.sample(stage.up_edges(), len(stage.up_edges()) // 2)
-    stage.wires.cut([e.node.name for e in edges], stage.core_names())
+    stage.links.cut([e.node.name for e in edges], stage.core_names())
     await asyncio.sleep(2.0)
     await stage.change()
     await asyncio.sleep(4.0)
-    stage.wires.heal()
+    stage.links.heal()
     await asyncio.sleep(1.0)
 
 
@@ -143,7 +145,7 @@
     for turn in range(3):
         for edge in stage.rng.sample(stage.up_edges(), 3):
             edge.node.kill()
-            stage.gone([edge], stage.now)
+            stage.mark_gone([edge], stage.now)
             stage.fresh += 1
             # At the very address, so that the platform knows it.
             fresh = fleet.edge(f"proxy-new{stage.fresh}", stage.fresh, edge.web)
@@ -164,19 +166,19 @@
         stage.fresh += 1
         fresh = fleet.edge(f"proxy-more{stage.fresh}", stage.fresh)
         fleet.edges.append(fresh)
-        fleet.callers.add(fresh.web)
+        fleet.clients.add(fresh.web)
         fresh.node.start()
     await asyncio.sleep(3.0)
     service = fleet.shape.services[0]
     await _press(stage, service)
     having = [e for e in fleet.edges if _borrowed(e, service.name)]
     if len(having) <= before:
-        stage.flaw(f"{len(having)} of {len(fleet.edges)} proxies were lent extra goes")
+        stage.report_failure(f"{len(having)} of {len(fleet.edges)} proxies were lent extra goes")
     page = await fleet.query(f"show loans service {service.name}", stage.core())
     rows = page["rows"] if page else []
     floor = fleet.settings().extra_floor
     if not 0 < sum(row[5] for row in rows) <= sum(row[6] for row in rows) <= floor:
-        stage.flaw(f"'show loans' tells of more out than the floor, or of nothing: {rows}")
+        stage.report_failure(f"'show loans' tells of more out than the floor, or of nothing: {rows}")
 
 
 def _borrowed(edge: typing.Any, service: str) -> int:
--- a/packages/simulator/src/dykeswitch/simulator/faults/routes.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/routes.py
@@ -39,15 +39,15 @@
         fleet = stage.fleet
         kept = {service.name for service in fleet.slots}
         names = sorted(name for name, endpoint in fleet.endpoints.items() if endpoint.service in kept)
-        with stage.planned(names, "cut_late", SHARE):
+        with stage.with_fault_plan(names, "cut_late", SHARE):
             for _ in range(TURNS):
-                asks = [asyncio.create_task(fleet.callers.rove()) for _ in range(AT_WORK)]
+                requests = [asyncio.create_task(fleet.clients.check_route()) for _ in range(AT_WORK)]
                 await asyncio.sleep(CHANGE_AFTER_S)
                 layout = stage.layout()
                 await fleet.put({**layout, "rules": changed(layout["rules"])}, stage.core())
                 await asyncio.sleep(ENDS_S)
                 await stage.change()
-                await asyncio.gather(*asks)
+                await asyncio.gather(*requests)
 
     return act
 
--- a/packages/simulator/src/dykeswitch/simulator/faults/wires.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/wires.py
@@ -40,55 +40,55 @@
         if stage.rng.random() < 0.5:
             ones, twos = twos, ones
         stage.note(f"{near} to {far}: {ones[:3]} can not send to {twos[:3]}")
-        stage.wires.cut(ones, twos, both=False)
+        stage.links.cut(ones, twos, both=False)
         await asyncio.sleep(1.0)
         await stage.fleet.put(stage.layout(), stage.core(), wait=3.0)
         await asyncio.sleep(2.0)
-        stage.wires.heal()
+        stage.links.heal()
         await asyncio.sleep(1.0)
 
 
 async def cut_endpoint_from_proxies(stage: stages.Stage) -> None:
     """Proxies do not reach an endpoint whose probes all succeed."""
     name = stage.rng.choice(stage.live_endpoints())
-    stage.wires.cut(stage.edge_names(), [name], both=stage.rng.random() < 0.5)
+    stage.links.cut(stage.edge_names(), [name], both=stage.rng.random() < 0.5)
     await asyncio.sleep(6.0)
-    stage.wires.heal()
+    stage.links.heal()
     await asyncio.sleep(1.0)
 
 
 async def cut_endpoint_from_cores(stage: stages.Stage) -> None:
     """The cores do not reach an endpoint that serves: it is marked, lapses, and comes back."""
     name = stage.rng.choice(stage.live_endpoints())
-    stage.wires.cut(stage.core_names(), [name], both=stage.rng.random() < 0.5)
+    stage.links.cut(stage.core_names(), [name], both=stage.rng.random() < 0.5)
     await asyncio.sleep(6.0)
-    stage.wires.heal()
+    stage.links.heal()
     await asyncio.sleep(1.0)
 
 
 async def cut_core_from_its_store(stage: stages.Stage) -> None:
     core = stage.core()
-    stage.wires.cut([core.registry.name], [core.store.name])
+    stage.links.cut([core.registry.name], [core.store.name])
     await asyncio.sleep(1.0)
     await stage.change(core)
     await stage.fleet.get(core)
     await asyncio.sleep(4.0)
-    stage.wires.heal()
+    stage.links.heal()
     await stage.fleet.get(core)
 
 
 async def lose_packets(stage: stages.Stage) -> None:
     """One packet in twenty is lost everywhere, and some machines are far away."""
     slow = stage.rng.sample(stage.edge_names() + stage.core_names() + stage.live_endpoints(), 4)
-    stage.wires.loss = 0.05
-    stage.wires.slow = dict.fromkeys(slow, 0.05)
+    stage.links.loss = 0.05
+    stage.links.slow = dict.fromkeys(slow, 0.05)
     # A packet that was lost comes half a second late, and a call takes several.
     stage.story.wire_s = 0.75
     for _ in range(3):
         await stage.change()
         await asyncio.sleep(2.0)
-    stage.wires.loss = 0.0
-    stage.wires.slow = {}
+    stage.links.loss = 0.0
+    stage.links.slow = {}
 
 
 async def lose_zone(stage: stages.Stage) -> None:
@@ -105,7 +105,7 @@
     for node in [n for c in cores for n in (c.store, c.registry)] + [e.node for e in edges]:
         node.lose_power()
     for name in names + slots:
-        stage.wires.off.add(name)
+        stage.links.off.add(name)
         fleet.kill_endpoint(name)
     await asyncio.sleep(3.0)
     await stage.change()
@@ -113,9 +113,9 @@
     for node in [n for c in cores for n in (c.store, c.registry)] + [e.node for e in edges]:
         node.restart()
     for name in names + slots:
-        stage.wires.off.discard(name)
+        stage.links.off.discard(name)
         fleet.wake(fleet.endpoints[name])
-    stage.gone(edges, begun)
+    stage.mark_gone(edges, begun)
     await asyncio.sleep(4.0)
     await fleet.get(cores[0])
 
--- a/packages/simulator/src/dykeswitch/simulator/fleet.py
+++ b/packages/simulator/src/dykeswitch/simulator/fleet.py
@@ -21,9 +21,9 @@
 import dykeswitch.simulator.observations as observations
 import dykeswitch.simulator.web as webs
 import dykeswitch.simulator.world as worlds
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 import dykeswitch.standin.endpoint as endpoints
-import dykeswitch.standin.nature as natures
+import dykeswitch.standin.nature as profiles
 import dykeswitch.standin.shape as shapes
 import dykeswitch.store.program as stores
 
@@ -40,41 +40,41 @@
         scratch: pathlib.Path,
         scale: float = 0.1,
         bounds: dict[str, typing.Any] | None = None,
-        roving: bool = False,
+        check_routes: bool = False,
         known: int | None = None,
         sealed: bool = False,
     ) -> None:
         # How the proxies speak with endpoints: these may be known to seal their successes.
-        self._adapter = machines.SealedEndpoints() if sealed else adapters.Own()
+        self._adapter = machines.SealedEndpoints() if sealed else adapters.DefaultAdapter()
         # How many of the cores all are told of at first; the rest have to be learnt.
         self._known = known
         self.world = worlds.World(seed, scratch)
-        self.world.wires.far_s = shape.far_s
+        self.world.links.far_s = shape.far_s
         self.shape = shape
         self.scale = scale
         self.rng = random.Random(seed + 2)
         self._bounds = bounds or {}
         # Whether requests are sent that each layout moves to another service.
-        self.slots = shapes.SLOTS if roving else ()
+        self.slots = shapes.SLOTS if check_routes else ()
         self.outside = self.world.machine_for("outside")
         self.clock = self.outside.clock
-        self.record = callers.Record(self.clock)
+        self.record = clients.TrafficRecord(self.clock)
         self.cores: list[machines.Core] = []
         self.edges: list[machines.Edge] = []
         self.endpoints: dict[str, endpoints.Endpoint] = {}
         self.hosts: dict[str, loops.Host] = {}
         self.left: dict[str, float] = {}
-        self.hits: list[tuple[float, str, str]] = []
+        self.arrivals: list[tuple[float, str, str]] = []
         # Requests that came to an endpoint and were meant for another.
-        self.turned: list[tuple[float, str, str]] = []
-        self.handed: list[observations.Handed] = []
-        self.puts: list[observations.Put] = []
-        self.gots: list[observations.Got] = []
+        self.misdirected: list[tuple[float, str, str]] = []
+        self.budgets: list[observations.TimeBudget] = []
+        self.puts: list[observations.LayoutPut] = []
+        self.reads: list[observations.LayoutRead] = []
         self.samples: list[observations.Sample] = []
         self._boots: dict[str, int] = {}
         self._tasks: set[asyncio.Task[typing.Any]] = set()
         self._build()
-        self.callers = callers.Callers(
+        self.clients = clients.Clients(
             shape, self.outside, [e.web for e in self.edges], self.record, self.rng
         )
 
@@ -111,7 +111,7 @@
             f"{name}-store",
             lambda machine, log, rng: stores.Store(second, machine, machines.disk_of(keeper), log, rng),
         )
-        world.wires.zones |= {name: zone, f"{name}-store": zone}
+        world.links.zones |= {name: zone, f"{name}-store": zone}
         keeper.disk = disks.SimDisk(world.folder(), world.rng)
         registry = world.add(
             "registry",
@@ -123,26 +123,26 @@
     def edge(self, name: str, n: int, web: str = "") -> machines.Edge:
         """A proxy's machine; also one that comes later, or in another's place."""
         world = self.world
-        bounds = self.settings(
+        config = self.settings(
             name=name,
             zone=self.shape.zones[n % len(self.shape.zones)],
             member=world.address(),
             web=web or world.address(),
             seeds=tuple(self.member_addresses[: self._known]),
         )
-        world.wires.zones[name] = bounds.zone
+        world.links.zones[name] = config.zone
 
         def build(machine: ports.Machine, log: typing.Any, rng: random.Random) -> proxies.Proxy:
             self._boots[name] = self._boots.get(name, 0) + 1
-            return proxies.Proxy(bounds, machine, log, rng, self._adapter)
+            return proxies.Proxy(config, machine, log, rng, self._adapter)
 
-        return machines.Edge(world.add("proxy", name, build), bounds.web, bounds.zone)
+        return machines.Edge(world.add("proxy", name, build), config.web, config.zone)
 
     def endpoint(self, name: str, service: shapes.ServiceShape, address: str, n: int) -> endpoints.Endpoint:
         """One more endpoint, on a machine of its own that runs no program of ours."""
         machine = self.world.machine_for(name)
         zone = self.shape.zones[n % len(self.shape.zones)]
-        self.world.wires.zones[name] = zone
+        self.world.links.zones[name] = zone
         rng = random.Random(self.world.rng.getrandbits(64))
         made = endpoints.Endpoint(
             name,
@@ -153,57 +153,57 @@
             lambda: [core.web for core in self.cores],
             rng,
             service.work_s,
-            ran=self.record.ran,
-            hit=self._hit,
-            nature=natures.PLAIN if service.nature is None else service.nature.drawn(rng),
-            began=self.record.began,
-            turned=self._turn,
+            on_execution=self.record.record_execution,
+            on_arrival=self._record_arrival,
+            profile=profiles.PLAIN if service.profile is None else service.profile.drawn(rng),
+            on_start=self.record.record_start,
+            on_misdirected=self._record_misdirected,
         )
         self.endpoints[name] = made
         return made
 
-    def _hit(self, endpoint: endpoints.Endpoint, method: str, target: str) -> None:
-        name = callers.name_in(target)
-        self.hits.append((self.clock.now(), name, endpoint.name))
+    def _record_arrival(self, endpoint: endpoints.Endpoint, method: str, target: str) -> None:
+        name = clients.request_id_in(target)
+        self.arrivals.append((self.clock.now(), name, endpoint.name))
         # One that is told of no end may work for ever.
-        span = math.inf if endpoint.handed_s is None else endpoint.handed_s
-        self.handed.append(observations.Handed(self.clock.now(), name, span, self.world.wires.calm()))
+        span = math.inf if endpoint.time_budget_s is None else endpoint.time_budget_s
+        self.budgets.append(observations.TimeBudget(self.clock.now(), name, span, self.world.links.stable()))
 
-    def _turn(self, endpoint: endpoints.Endpoint, method: str, target: str) -> None:
-        self.turned.append((self.clock.now(), callers.name_in(target), endpoint.name))
+    def _record_misdirected(self, endpoint: endpoints.Endpoint, method: str, target: str) -> None:
+        self.misdirected.append((self.clock.now(), clients.request_id_in(target), endpoint.name))
 
     def wake(self, endpoint: endpoints.Endpoint, silent_s: float = 0.0) -> None:
         """Let an endpoint listen, and beat after a silence, on its own machine."""
         host = loops.Host(endpoint.name)
         self.hosts[endpoint.name] = host
-        endpoint.rehost(self.machine_on(host))
+        endpoint.move_to_machine(self.machine_on(host))
         context = contextvars.Context()
         context.run(loops.HOST.set, host)
 
         async def live() -> None:
             await endpoint.open()
             await asyncio.sleep(silent_s)
-            await endpoint.beat_for_ever()
+            await endpoint.send_heartbeats()
 
         self._keep(self.world.loop.create_task(live(), context=context))
 
     def machine_on(self, host: loops.Host) -> ports.Machine:
         """What the programs of one machine see of it."""
-        wires = self.world.wires
+        links = self.world.links
         return ports.Machine(
             worlds.SimClock(self.world.loop),
-            nets.SimNetwork(wires, host),
-            webs.SimWeb(wires, host),
-            worlds.SimPoints(),
+            nets.SimNetwork(links, host),
+            webs.SimWeb(links, host),
+            worlds.SimFaultPoints(),
         )
 
     def kill_endpoint(self, name: str) -> None:
         """The process ends: pipes are reset, beats stop."""
         host = self.hosts[name]
         host.dead = True
-        wires = self.world.wires
-        wires.reset_host(name)
-        wires.ears = {s: e for s, e in wires.ears.items() if e[0] is not host}
+        links = self.world.links
+        links.reset_host(name)
+        links.listeners = {s: e for s, e in links.listeners.items() if e[0] is not host}
         self.endpoints[name].beating = False
         for task in list(host.tasks):
             task.cancel()
@@ -237,11 +237,11 @@
             edge.node.start()
         for endpoint in list(self.endpoints.values()):
             self.wake(endpoint)
-        self.spawn(self.callers.watch())
+        self.spawn(self.clients.watch_readiness())
         self.spawn(self._sample())
         first = self.shape.layout()
-        await self.apply(shapes.roving(first, 0) if self.slots else first)
-        await self.until(lambda: len(self.callers.ready) == len(self.edges), 30, "all proxies ready")
+        await self.apply(shapes.rotating_layout(first, 0) if self.slots else first)
+        await self.until(lambda: len(self.clients.ready) == len(self.edges), 30, "all proxies ready")
         await self.until(self._all_known, 30, "all endpoints known to all proxies")
         return self.clock.now() - begun
 
@@ -270,18 +270,18 @@
         match: int | None = None,
         wait: float = 5.0,
         lose_answer: bool = False,
-    ) -> observations.Put:
+    ) -> observations.LayoutPut:
         """Send an order to one core, whose answer may be lost on its way though it was taken."""
         body = json.dumps(layout, sort_keys=True)
-        put = observations.Put(self.clock.now(), body, match)
+        put = observations.LayoutPut(self.clock.now(), body, match)
         self.puts.append(put)
-        heads = [] if match is None else [("if-match", f'"{match}"')]
+        fields = [] if match is None else [("if-match", f'"{match}"')]
         try:
-            reply = await self.outside.web.ask("PUT", core.web, "/v1/layout", heads, body.encode(), wait)
+            reply = await self.outside.web.request("PUT", core.web, "/v1/layout", fields, body.encode(), wait)
         except (OSError, TimeoutError):
-            put.ended = self.clock.now()
+            put.ended_at = self.clock.now()
             return put
-        put.ended = self.clock.now()
+        put.ended_at = self.clock.now()
         if lose_answer:
             put.lost_status = reply.status
             return put
@@ -290,19 +290,19 @@
             put.version = int(json.loads(reply.body)["version"])
         return put
 
-    async def get(self, core: machines.Core, wait: float = 5.0) -> observations.Got:
+    async def get(self, core: machines.Core, wait: float = 5.0) -> observations.LayoutRead:
         """Read the newest layout from one core."""
-        got = observations.Got(self.clock.now())
-        self.gots.append(got)
+        got = observations.LayoutRead(self.clock.now())
+        self.reads.append(got)
         try:
-            reply = await self.outside.web.ask("GET", core.web, "/v1/layout", [], b"", wait)
+            reply = await self.outside.web.request("GET", core.web, "/v1/layout", [], b"", wait)
         except (OSError, TimeoutError):
-            got.ended = self.clock.now()
+            got.ended_at = self.clock.now()
             return got
-        got.ended = self.clock.now()
+        got.ended_at = self.clock.now()
         got.status = reply.status
         if reply.status == 200:
-            got.version = int(reply.head("dykeswitch-version") or 0)
+            got.version = int(reply.header("dykeswitch-version") or 0)
             got.body = json.dumps(json.loads(reply.body), sort_keys=True)
         return got
 
@@ -310,7 +310,7 @@
         """One sentence of the operators' language to one registry."""
         body = json.dumps({"text": text, "by": "operator"}).encode()
         try:
-            reply = await self.outside.web.ask("POST", core.web, "/v1/query", [], body, wait)
+            reply = await self.outside.web.request("POST", core.web, "/v1/query", [], body, wait)
         except (OSError, TimeoutError):
             return None
         return dict(json.loads(reply.body)) if reply.status == 200 else None
--- a/packages/simulator/src/dykeswitch/simulator/history/configuration.py
+++ b/packages/simulator/src/dykeswitch/simulator/history/configuration.py
@@ -17,15 +17,15 @@
 REFUSALS: typing.Final = (400, 409, 412, 422)
 
 
-def accepted(story: record.History) -> list[observations.Put]:
+def accepted(story: record.History) -> list[observations.LayoutPut]:
     """The orders that were acknowledged."""
     return [p for p in story.puts if p.status == 200]
 
 
 def layout_in_time(story: record.History) -> list[str]:
     """Every proxy that is ready carries a change within 2 s."""
-    puts = sorted(accepted(story), key=lambda p: p.ended)
-    times = [p.ended for p in puts]
+    puts = sorted(accepted(story), key=lambda p: p.ended_at)
+    times = [p.ended_at for p in puts]
     # By what each proxy says of itself; by what reached endpoints, see `layout_by_traffic`.
     tops: list[int] = []
     for put in puts:
@@ -59,21 +59,21 @@
     """Each request reached the service of a layout that stood within the last 2 s."""
     stood = standing.all_of(story.puts)
     slack = LAYOUT_S + SLACK_S + story.wire_s
-    found = standing.wrong_service(stood, story.roves, story.hits, story.owners, slack)
-    return found + standing.wrong_refusal(stood, story.roves, slack)
+    found = standing.wrong_service(stood, story.route_checks, story.arrivals, story.owners, slack)
+    return found + standing.wrong_refusal(stood, story.route_checks, slack)
 
 
 def layout_order_by_traffic(story: record.History) -> list[str]:
     """No request went by an older layout than its proxy had gone by before."""
     stood = standing.all_of(story.puts)
     slack, order = LAYOUT_S + SLACK_S + story.wire_s, ORDER_S + story.wire_s
-    return standing.slips(stood, story.roves, story.hits, story.owners, slack, order)
+    return standing.slips(stood, story.route_checks, story.arrivals, story.owners, slack, order)
 
 
 def not_run_again(story: record.History) -> list[str]:
     """No request runs once more where no layout that stood within the last 2 s let it."""
     slack = LAYOUT_S + SLACK_S + story.wire_s
-    return standing.run_again(standing.all_of(story.puts), story.roves, story.starts, slack)
+    return standing.run_again(standing.all_of(story.puts), story.route_checks, story.execution_starts, slack)
 
 
 Fact = tuple[float, float, int, str]
@@ -87,7 +87,7 @@
     first: dict[Order, float] = {}
     for put in story.puts:
         order = (put.body, put.match)
-        first[order] = min(put.begun, first.get(order, put.begun))
+        first[order] = min(put.started_at, first.get(order, put.started_at))
     return first
 
 
@@ -95,12 +95,12 @@
     """What operators were told of versions: begun, ended, the version and its layout."""
     first = _first_sent(story)
     facts = [
-        (p.begun if p.match is None else first[p.body, p.match], p.ended, p.version, p.body)
+        (p.started_at if p.match is None else first[p.body, p.match], p.ended_at, p.version, p.body)
         for p in accepted(story)
     ]
-    facts += [(g.begun, g.ended, g.version, g.body) for g in story.gots if g.status == 200]
+    facts += [(g.started_at, g.ended_at, g.version, g.body) for g in story.reads if g.status == 200]
     # "There is none" is an answer too: that of version 0.
-    return facts + [(g.begun, g.ended, 0, "") for g in story.gots if g.status == 404]
+    return facts + [(g.started_at, g.ended_at, 0, "") for g in story.reads if g.status == 404]
 
 
 def one_body_per_version(story: record.History) -> list[str]:
@@ -118,15 +118,15 @@
     taken: dict[str, float] = {}
     for put in story.puts:
         if 200 in (put.status, put.lost_status):
-            taken[put.body] = min(put.ended, taken.get(put.body, put.ended))
-    for got in story.gots:
+            taken[put.body] = min(put.ended_at, taken.get(put.body, put.ended_at))
+    for got in story.reads:
         if got.status == 200:
-            taken[got.body] = min(got.ended, taken.get(got.body, got.ended))
+            taken[got.body] = min(got.ended_at, taken.get(got.body, got.ended_at))
     return [
-        f"an order sent again at {p.begun:.3f} got {p.status or p.lost_status}, and was known to be "
+        f"an order sent again at {p.started_at:.3f} got {p.status or p.lost_status}, and was known to be "
         f"taken at {taken[p.body]:.3f}"
         for p in story.puts
-        if (p.status or p.lost_status) in REFUSALS and taken.get(p.body, math.inf) <= p.begun
+        if (p.status or p.lost_status) in REFUSALS and taken.get(p.body, math.inf) <= p.started_at
     ]
 
 
@@ -134,7 +134,7 @@
     """Once all is calm, every core reads back what was acknowledged last, or what came after it."""
     top = max((p.version for p in accepted(story)), default=0)
     return [
-        f"a core answered {g.status} with version {g.version} at {g.ended:.2f}, {top} was acknowledged"
+        f"a core answered {g.status} with version {g.version} at {g.ended_at:.2f}, {top} was acknowledged"
         for g in story.read_back
         if g.status != 200 or g.version < top
     ]
@@ -186,12 +186,13 @@
     for put in story.puts:
         if put.status != 412 or put.match is None:
             continue
-        stood = any(p.version == put.match and p.ended < put.begun for p in accepted(story))
+        stood = any(p.version == put.match and p.ended_at < put.started_at for p in accepted(story))
         moved = any(
-            (p.version > put.match if p.status == 200 else p.status in (0, 504)) and p.begun < put.ended
+            (p.version > put.match if p.status == 200 else p.status in (0, 504))
+            and p.started_at < put.ended_at
             for p in story.puts
             if p is not put
         )
         if stood and not moved:
-            found.append(f"a change to {put.match} at {put.begun:.2f} lost a race that nobody else ran")
+            found.append(f"a change to {put.match} at {put.started_at:.2f} lost a race that nobody else ran")
     return found
--- a/packages/simulator/src/dykeswitch/simulator/history/record.py
+++ b/packages/simulator/src/dykeswitch/simulator/history/record.py
@@ -4,7 +4,7 @@
 import typing
 
 import dykeswitch.simulator.observations as observations
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 
 # Figures of the brief, in seconds, and of what may be seen by chance.
 RECOVER_S: typing.Final = 15.0
@@ -18,42 +18,42 @@
     """A stretch of time in which something was so for one machine."""
 
     name: str
-    begun: float
-    ended: float
+    started_at: float
+    ended_at: float
 
     def holds(self, at: float, slack: float = 0.0) -> bool:
         """Whether a moment lies within it, or up to `slack` seconds behind its end."""
-        return self.begun <= at <= self.ended + slack
+        return self.started_at <= at <= self.ended_at + slack
 
 
 @dataclasses.dataclass(slots=True)
 class History:
     """All that was recorded of one run."""
 
-    asks: list[callers.Ask] = dataclasses.field(default_factory=list)
-    runs: dict[str, list[callers.Run]] = dataclasses.field(default_factory=dict)
+    requests: list[clients.Request] = dataclasses.field(default_factory=list)
+    executions: dict[str, list[clients.Execution]] = dataclasses.field(default_factory=dict)
     # When work began, where endpoints say so: a run that its endpoint's end cut off counts.
-    starts: dict[str, list[callers.Run]] = dataclasses.field(default_factory=dict)
-    hits: list[tuple[float, str, str]] = dataclasses.field(default_factory=list)
+    execution_starts: dict[str, list[clients.Execution]] = dataclasses.field(default_factory=dict)
+    arrivals: list[tuple[float, str, str]] = dataclasses.field(default_factory=list)
     # Requests that were meant for another endpoint, and turned away by the one they reached.
-    turned: list[tuple[float, str, str]] = dataclasses.field(default_factory=list)
-    handed: list[observations.Handed] = dataclasses.field(default_factory=list)
+    misdirected: list[tuple[float, str, str]] = dataclasses.field(default_factory=list)
+    time_budgets: list[observations.TimeBudget] = dataclasses.field(default_factory=list)
     owners: dict[str, str] = dataclasses.field(default_factory=dict)
     left: dict[str, float] = dataclasses.field(default_factory=dict)
-    puts: list[observations.Put] = dataclasses.field(default_factory=list)
-    gots: list[observations.Got] = dataclasses.field(default_factory=list)
+    puts: list[observations.LayoutPut] = dataclasses.field(default_factory=list)
+    reads: list[observations.LayoutRead] = dataclasses.field(default_factory=list)
     # What each core answers to a read once all is calm.
-    read_back: list[observations.Got] = dataclasses.field(default_factory=list)
+    read_back: list[observations.LayoutRead] = dataclasses.field(default_factory=list)
     samples: list[observations.Sample] = dataclasses.field(default_factory=list)
     # Requests that each layout sends elsewhere, and how late wires may bring them.
-    roves: dict[str, callers.Ask] = dataclasses.field(default_factory=dict)
+    route_checks: dict[str, clients.Request] = dataclasses.field(default_factory=dict)
     wire_s: float = 0.0
     # Machines of proxies that were gone or frozen, by the proxy's address; and services
     # of which no endpoint could answer. What callers lost by these is excused, and counted.
     gone: list[Span] = dataclasses.field(default_factory=list)
     failing: list[Span] = dataclasses.field(default_factory=list)
     # Proxies cut off whose callers come all the same, whatever they are told.
-    rude: set[str] = dataclasses.field(default_factory=set)
+    ignoring_readiness: set[str] = dataclasses.field(default_factory=set)
     # Orderly stops, by the proxy's address.
     stops: list[Span] = dataclasses.field(default_factory=list)
     # Proxies from their stop until they were back, by address: who came meanwhile was refused, and a
@@ -68,7 +68,7 @@
     expiry_s: float = 10.0
     away_most: int = 5
     # When the last fault was over, and when traffic ended.
-    calm: float = 0.0
+    faults_ended_at: float = 0.0
     end: float = 0.0
 
 
--- a/packages/simulator/src/dykeswitch/simulator/history/service.py
+++ b/packages/simulator/src/dykeswitch/simulator/history/service.py
@@ -4,7 +4,7 @@
 import typing
 
 import dykeswitch.simulator.history.record as record
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 
 # The bound on extra tries: in each window of so many seconds a share of the requests, and so many more.
 SPAN_S: typing.Final = 10.0
@@ -21,14 +21,14 @@
 
 def _extra_windows(story: record.History) -> typing.Iterator[tuple[str, float, int, int]]:
     """Windows in which extra goes came: service, begin, how many, and on how many requests."""
-    service = {a.name: a.service for a in story.asks}
+    service = {a.name: a.service for a in story.requests}
     asked: dict[str, list[float]] = {}
-    for ask in story.asks:
-        asked.setdefault(ask.service, []).append(ask.begun)
+    for request in story.requests:
+        asked.setdefault(request.service, []).append(request.started_at)
     seen: set[str] = set()
     extra: dict[str, list[float]] = {}
     # Such as were turned away arrived all the same.
-    for at, name, _ in sorted([*story.hits, *story.turned]):
+    for at, name, _ in sorted([*story.arrivals, *story.misdirected]):
         if name in seen and name in service:
             extra.setdefault(service[name], []).append(at)
         seen.add(name)
@@ -60,10 +60,10 @@
     """A request at work is not dropped by an orderly stop."""
     crossed = crossed_a_close(story)
     return [
-        f"{a.name}: {a.flaw}"
-        for a in story.asks
+        f"{a.name}: {a.error}"
+        for a in story.requests
         for s in story.stops
-        if a.flaw and a.address == s.name and a.begun <= s.ended and a.ended >= s.begun
+        if a.error and a.address == s.name and a.started_at <= s.ended_at and a.ended_at >= s.started_at
         if a.name not in crossed
     ]
 
@@ -72,29 +72,32 @@
     """Requests whose connection a stop closed, or never opened, soon and before any endpoint had them."""
     if not story.closed:
         return set()
-    arrived = {name for _, name, _ in [*story.hits, *story.turned]}
+    arrived = {name for _, name, _ in [*story.arrivals, *story.misdirected]}
     return {
         a.name
-        for a in story.asks
-        if a.flaw and a.name not in arrived and a.ended - a.begun <= CROSSING_S + story.wire_s
+        for a in story.requests
+        if a.error and a.name not in arrived and a.ended_at - a.started_at <= CROSSING_S + story.wire_s
         for s in story.closed
-        if s.name == a.address and s.holds(a.ended)
+        if s.name == a.address and s.holds(a.ended_at)
     }
 
 
-def _lost_with_machine(story: record.History, ask: callers.Ask) -> bool:
+def _lost_with_machine(story: record.History, request: clients.Request) -> bool:
     """Whether a proxy was killed or frozen while it had a request in hand, or still was asked."""
-    return any(s.name == ask.address and s.begun <= ask.ended and s.ended >= ask.begun for s in story.gone)
+    return any(
+        s.name == request.address and s.started_at <= request.ended_at and s.ended_at >= request.started_at
+        for s in story.gone
+    )
 
 
 def excuses(story: record.History) -> dict[str, int]:
     """How many requests each excuse covers."""
     return {
         "crossed a close": len(crossed_a_close(story)),
-        "machine gone": sum(1 for a in story.asks if a.flaw and _lost_with_machine(story, a)),
-        "service failing": sum(1 for a in story.asks if _away(a) and _of_failing(story, a)),
+        "machine gone": sum(1 for a in story.requests if a.error and _lost_with_machine(story, a)),
+        "service failing": sum(1 for a in story.requests if _away(a) and _of_failing(story, a)),
         "came to a cut-off machine all the same": sum(
-            1 for a in story.asks if _away(a) and a.name in story.rude
+            1 for a in story.requests if _away(a) and a.name in story.ignoring_readiness
         ),
     }
 
@@ -102,9 +105,9 @@
 def excuses_bounded(story: record.History) -> list[str]:
     """A day on which excuses cover much of what was asked proves little."""
     return [
-        f"'{why}' covers {many} of {len(story.asks)}"
+        f"'{why}' covers {many} of {len(story.requests)}"
         for why, many in excuses(story).items()
-        if many > EXCUSED_SHARE * len(story.asks)
+        if many > EXCUSED_SHARE * len(story.requests)
     ]
 
 
@@ -112,50 +115,58 @@
     """A caller's pipe breaks only with the machine at its other end."""
     crossed = crossed_a_close(story)
     return [
-        f"{a.name} by {a.address} at {a.begun:.2f}: {a.flaw}"
-        for a in story.asks
-        if a.flaw and not _lost_with_machine(story, a) and a.name not in crossed
+        f"{a.name} by {a.address} at {a.started_at:.2f}: {a.error}"
+        for a in story.requests
+        if a.error and not _lost_with_machine(story, a) and a.name not in crossed
     ]
 
 
-def _away(ask: callers.Ask) -> bool:
-    return ask.result in record.AWAY
+def _away(request: clients.Request) -> bool:
+    return request.result in record.AWAY
 
 
-def _of_failing(story: record.History, ask: callers.Ask) -> bool:
+def _of_failing(story: record.History, request: clients.Request) -> bool:
     """Whether no endpoint of the service could have answered; marks outlast that a little."""
-    return any(s.name == ask.service and s.holds(ask.begun, MARK_S) for s in story.failing)
+    return any(s.name == request.service and s.holds(request.started_at, MARK_S) for s in story.failing)
 
 
 def not_turned_away(story: record.History) -> list[str]:
     """The gateway turns away no more than a handful by itself."""
-    away = [a for a in story.asks if _away(a) and not _of_failing(story, a) and a.name not in story.rude]
+    away = [
+        a
+        for a in story.requests
+        if _away(a) and not _of_failing(story, a) and a.name not in story.ignoring_readiness
+    ]
     if len(away) <= story.away_most:
         return []
-    return [f"{len(away)} turned away, first {away[0].name} at {away[0].begun:.2f} with {away[0].result}"]
+    return [
+        f"{len(away)} turned away, first {away[0].name} at {away[0].started_at:.2f} with {away[0].result}"
+    ]
 
 
 def recovered(story: record.History) -> list[str]:
     """From 15 s after the last fault on, everything is answered."""
     found = [
-        f"{a.name} at {a.begun:.2f} got {a.status} {a.result} {a.flaw}"
-        for a in [*story.asks, *story.roves.values()]
-        if a.begun > story.calm + record.RECOVER_S
+        f"{a.name} at {a.started_at:.2f} got {a.status} {a.result} {a.error}"
+        for a in [*story.requests, *story.route_checks.values()]
+        if a.started_at > story.faults_ended_at + record.RECOVER_S
         and a.left_at is None
-        and (a.status not in (200, 404) or a.wrong)
+        and (a.status not in (200, 404) or a.mismatch)
+    ]
+    return found + [
+        f"{a.name} at {a.started_at:.2f} found no rule" for a in story.requests if a.status == 404
     ]
-    return found + [f"{a.name} at {a.begun:.2f} found no rule" for a in story.asks if a.status == 404]
 
 
 def back_after(story: record.History, since: float, until: float) -> float:
     """How long after a moment the last request failed that began before the next fault."""
     bad = [
-        a.begun
-        for a in [*story.asks, *story.roves.values()]
-        if since < a.begun < until
-        and (a.status not in (200, 404) or a.wrong)
+        a.started_at
+        for a in [*story.requests, *story.route_checks.values()]
+        if since < a.started_at < until
+        and (a.status not in (200, 404) or a.mismatch)
         and a.left_at is None
-        and a.name not in story.rude
+        and a.name not in story.ignoring_readiness
     ]
     return max(bad, default=since) - since
 
@@ -171,11 +182,11 @@
 def in_time(story: record.History) -> list[str]:
     """Every caller has an answer by its expiry."""
     return [
-        f"{a.name} took {a.ended - a.begun:.2f} s"
-        for a in story.asks
-        if a.ended - a.begun > (a.expiry_s or story.expiry_s) + LATE_S
+        f"{a.name} took {a.ended_at - a.started_at:.2f} s"
+        for a in story.requests
+        if a.ended_at - a.started_at > (a.expiry_s or story.expiry_s) + LATE_S
         # A machine that went dark says nothing; its caller counts under an excuse.
-        and not (a.flaw and _lost_with_machine(story, a))
+        and not (a.error and _lost_with_machine(story, a))
     ]
 
 
--- a/packages/simulator/src/dykeswitch/simulator/leaks.py
+++ b/packages/simulator/src/dykeswitch/simulator/leaks.py
@@ -6,7 +6,7 @@
 
 import dykeswitch.simulator.fleet as fleets
 import dykeswitch.simulator.world as worlds
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 # Tasks and calls between members come and go with each shuffle.
 TASKS_SLACK: typing.Final = 12
@@ -33,11 +33,11 @@
     """Count what the living programs hold."""
     nodes = [n for n in fleet.world.nodes.values() if n.up and n.daemon is not None]
     proxies = [n for n in nodes if n.program == "proxy"]
-    lines = [n.daemon.line for n in nodes if n.program != "store"]
+    member_timelines = [n.daemon.timeline for n in nodes if n.program != "store"]
     entries: dict[str, int] = {}
-    for line in lines:
-        for kind in timeline.KINDS:
-            entries[kind] = max(entries.get(kind, 0), line.held(kind))
+    for timeline in member_timelines:
+        for kind in timelines.KINDS:
+            entries[kind] = max(entries.get(kind, 0), timeline.count(kind))
     return Count(
         tasks=max((len(n.host.tasks) for n in nodes), default=0),
         table=sum(len(n.daemon.carrier.table) for n in proxies),
@@ -54,7 +54,7 @@
     names = {n.name for n in proxies}
     open_ones: list[object] = [
         p
-        for p in fleet.world.wires.connections
+        for p in fleet.world.links.connections
         if p.here.name in names and p.there.name in fleet.endpoints and not p.ended()
     ]
     held: int = sum(n.daemon.carrier.idle() for n in proxies)
@@ -64,7 +64,7 @@
 def _pair(fleet: fleets.SimFleet) -> int:
     pairs = collections.Counter(
         (p.here.name, p.there.name)
-        for p in fleet.world.wires.connections
+        for p in fleet.world.links.connections
         if p.there.name not in fleet.endpoints and p.here.name not in fleet.endpoints
     )
     return max(pairs.values(), default=0)
@@ -86,7 +86,7 @@
         found.append(f"{last.pair} pipes are open between two members")
     for kind, many in last.entries.items():
         # One entry for each endpoint or member that ever was, and a mark for each endpoint.
-        most = {timeline.ENDPOINT: last.endpoints, timeline.MARK: last.endpoints}.get(kind)
+        most = {timelines.ENDPOINT: last.endpoints, timelines.MARK: last.endpoints}.get(kind)
         most = last.members + base.entries.get(kind, 0) if most is None else most
         if many > most:
             found.append(f"{many} entries of kind {kind}, at most {most} could be")
--- a/packages/simulator/src/dykeswitch/simulator/machines.py
+++ b/packages/simulator/src/dykeswitch/simulator/machines.py
@@ -8,10 +8,10 @@
 import dykeswitch.standin.headers as headers
 
 
-class SealedEndpoints(adapters.Own):
+class SealedEndpoints(adapters.DefaultAdapter):
     """The product's interface towards endpoints that seal every success."""
 
-    heads = dataclasses.replace(adapters.Heads(), seal=headers.SEAL.encode())
+    header_names = dataclasses.replace(adapters.HeaderNames(), seal=headers.SEAL.encode())
 
 
 @dataclasses.dataclass(slots=True)
--- a/packages/simulator/src/dykeswitch/simulator/net.py
+++ b/packages/simulator/src/dykeswitch/simulator/net.py
@@ -11,12 +11,12 @@
 import dykeswitch.simulator.loop as loops
 
 # How long after a cut what it held up may still arrive, in seconds.
-CALM_AFTER_S: typing.Final = 4.0
+SETTLE_S: typing.Final = 4.0
 # Calls that an application has in hand.
 Flights = dict["asyncio.Task[None]", None]
 
 
-class Wires:
+class SimulatedLinks:
     """Which machine reaches which, and how long it takes."""
 
     def __init__(self, loop: loops.VirtualLoop, rng: random.Random) -> None:
@@ -26,7 +26,7 @@
         self.slow: dict[str, float] = {}
         self.loss = 0.0
         self._healed_at = -math.inf
-        self.ears: dict[str, tuple[loops.Host, ports.Serve]] = {}
+        self.listeners: dict[str, tuple[loops.Host, ports.Serve]] = {}
         self.apps: dict[str, tuple[loops.Host, ports.App, Flights]] = {}
         # The machine that an address belongs to, whether or not anyone listens.
         self.homes: dict[str, loops.Host] = {}
@@ -77,10 +77,10 @@
                     if both:
                         self.cuts.add((two, one))
 
-    def calm(self) -> bool:
+    def stable(self) -> bool:
         """Whether nothing is cut, slowed or lost, nor was cut a little while ago."""
         disturbed = self.cuts or self.slow or self.off or self.loss
-        return not disturbed and self.loop.time() - self._healed_at > CALM_AFTER_S
+        return not disturbed and self.loop.time() - self._healed_at > SETTLE_S
 
     def heal(self) -> None:
         """End every cut; what was held up goes on."""
@@ -99,8 +99,8 @@
 class SimConnection:
     """One end of a pipe; the other end is `peer`."""
 
-    def __init__(self, wires: Wires, here: loops.Host, there: loops.Host) -> None:
-        self._wires = wires
+    def __init__(self, links: SimulatedLinks, here: loops.Host, there: loops.Host) -> None:
+        self._links = links
         self.here = here
         self.there = there
         self.peer: SimConnection | None = None
@@ -111,17 +111,17 @@
         self._news = asyncio.Event()
         self._queue: collections.deque[bytes | None] = collections.deque()
         self._last = 0.0
-        wires.connections[self] = None
+        links.connections[self] = None
 
-    async def read(self, most: int) -> bytes:
-        """Up to `most` bytes; none at the end of the stream."""
+    async def read(self, max_bytes: int) -> bytes:
+        """Up to `max_bytes` bytes; none at the end of the stream."""
         while not self._inbox and not self._fin and not self._rst and not self._closed:
             self._news.clear()
             await self._news.wait()
         if self._rst:
             raise ConnectionResetError("reset by the other side")
-        data = bytes(self._inbox[:most])
-        del self._inbox[:most]
+        data = bytes(self._inbox[:max_bytes])
+        del self._inbox[:max_bytes]
         return data
 
     async def write(self, data: bytes) -> None:
@@ -144,7 +144,7 @@
             self.pump()
         # What a cut holds back still leaves once the cut is healed.
         if not self._queue or self.here.dead:
-            self._wires.connections.pop(self, None)
+            self._links.connections.pop(self, None)
 
     def ended(self) -> bool:
         """Whether it is over or holds bytes that nobody asked for."""
@@ -152,22 +152,22 @@
 
     def pump(self) -> None:
         """Move what is queued on to the other end, unless the wire is cut."""
-        if self.peer is None or not self._wires.open(self.here.name, self.there.name):
+        if self.peer is None or not self._links.open(self.here.name, self.there.name):
             return
         while self._queue:
             part = self._queue.popleft()
-            span = self._wires.delay(self.here.name, self.there.name)
+            span = self._links.delay(self.here.name, self.there.name)
             # Timers of one moment run in any order, but a pipe keeps its own.
-            at = max(self._last + 1e-6, self._wires.loop.time() + span)
+            at = max(self._last + 1e-6, self._links.loop.time() + span)
             self._last = at
-            self._wires.sent(self.here.name, self.there.name, len(part or b""))
-            self._wires.loop.call_at(at, self.peer.arrive, part, context=loops.EMPTY)
+            self._links.sent(self.here.name, self.there.name, len(part or b""))
+            self._links.loop.call_at(at, self.peer.arrive, part, context=loops.EMPTY)
 
     def arrive(self, part: bytes | None) -> None:
         """Take in what the other end sent, or its end."""
         if self._closed or self.here.dead:
             # Nobody is there: the sender learns it by a reset.
-            known = self._wires.both(self.here.name, self.there.name)
+            known = self._links.both(self.here.name, self.there.name)
             if part is not None and self.peer is not None and known:
                 self.peer.reset()
             return
@@ -179,12 +179,12 @@
 
     def reset(self) -> None:
         """End both ends at once, as far as the wire lets the other know."""
-        self._wires.connections.pop(self, None)
+        self._links.connections.pop(self, None)
         peer = self.peer
-        if peer is not None and not peer._rst and self._wires.open(self.here.name, self.there.name):
+        if peer is not None and not peer._rst and self._links.open(self.here.name, self.there.name):
             peer._rst = True
             peer._news.set()
-            self._wires.connections.pop(peer, None)
+            self._links.connections.pop(peer, None)
         self._rst = True
         self._news.set()
 
@@ -192,14 +192,14 @@
 class SimListener:
     """Takes pipes for one address until closed."""
 
-    def __init__(self, wires: Wires, address: str) -> None:
-        self._wires = wires
+    def __init__(self, links: SimulatedLinks, address: str) -> None:
+        self._links = links
         self._address = address
         self.connections: dict[SimConnection, None] = {}
 
     def close(self) -> None:
         """Stop accepting, and close the connections it accepted."""
-        self._wires.ears.pop(self._address, None)
+        self._links.listeners.pop(self._address, None)
         for connection in list(self.connections):
             connection.close()
 
@@ -207,39 +207,39 @@
 class SimNetwork:
     """The network as one machine sees it."""
 
-    def __init__(self, wires: Wires, host: loops.Host) -> None:
-        self._wires = wires
+    def __init__(self, links: SimulatedLinks, host: loops.Host) -> None:
+        self._links = links
         self._host = host
 
-    async def dial(self, address: ports.Address, wait: float) -> ports.Connection:
-        """Connect within `wait` seconds, by the delay of the way and its cuts."""
+    async def connect(self, address: ports.Address, timeout_s: float) -> ports.Connection:
+        """Connect within `timeout_s` seconds, by the delay of the way and its cuts."""
         # As a real network does, rather than wait for what is nowhere.
         ports.address_of(address)
-        wires, me = self._wires, self._host
-        async with asyncio.timeout(wait):
-            home = wires.homes.get(address)
+        links, me = self._links, self._host
+        async with asyncio.timeout(timeout_s):
+            home = links.homes.get(address)
             there = home.name if home is not None else "nowhere"
-            await asyncio.sleep(wires.delay(me.name, there))
+            await asyncio.sleep(links.delay(me.name, there))
             # Silence, not a refusal: the packets go nowhere until a cut is healed.
-            while home is None or not wires.both(me.name, there):
+            while home is None or not links.both(me.name, there):
                 await asyncio.sleep(0.05)
-                home = wires.homes.get(address)
+                home = links.homes.get(address)
                 there = home.name if home is not None else "nowhere"
-            await asyncio.sleep(wires.delay(there, me.name))
-            found = wires.ears.get(address)
+            await asyncio.sleep(links.delay(there, me.name))
+            found = links.listeners.get(address)
             if found is None or found[0].dead:
                 raise ConnectionRefusedError(address)
             host, serve = found
-            mine, theirs = SimConnection(wires, me, host), SimConnection(wires, host, me)
+            mine, theirs = SimConnection(links, me, host), SimConnection(links, host, me)
             mine.peer, theirs.peer = theirs, mine
             context = contextvars.Context()
             context.run(loops.HOST.set, host)
-            wires.loop.create_task(_serve(serve, theirs), context=context)
+            links.loop.create_task(_serve(serve, theirs), context=context)
         return mine
 
     async def listen(self, address: str, serve: ports.Serve) -> ports.Listener:
         """Accept connections at an address."""
-        listener = SimListener(self._wires, address)
+        listener = SimListener(self._links, address)
 
         async def kept(connection: ports.Connection) -> None:
             assert isinstance(connection, SimConnection)
@@ -249,10 +249,10 @@
             finally:
                 listener.connections.pop(connection, None)
 
-        if address in self._wires.ears and not self._wires.ears[address][0].dead:
+        if address in self._links.listeners and not self._links.listeners[address][0].dead:
             raise OSError(f"{address} is taken")
-        self._wires.ears[address] = (self._host, kept)
-        self._wires.homes[address] = self._host
+        self._links.listeners[address] = (self._host, kept)
+        self._links.homes[address] = self._host
         return listener
 
 
--- a/packages/simulator/src/dykeswitch/simulator/observations.py
+++ b/packages/simulator/src/dykeswitch/simulator/observations.py
@@ -4,13 +4,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Put:
+class LayoutPut:
     """One sending of an operator's order, and what came of it."""
 
-    begun: float
+    started_at: float
     body: str
     match: int | None
-    ended: float = 0.0
+    ended_at: float = 0.0
     # What the operator was told; 0 where no answer came.
     status: int = 0
     version: int = 0
@@ -19,25 +19,25 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Got:
+class LayoutRead:
     """An operator's read, and what it brought."""
 
-    begun: float
-    ended: float = 0.0
+    started_at: float
+    ended_at: float = 0.0
     status: int = 0
     version: int = 0
     body: str = ""
 
 
 @dataclasses.dataclass(slots=True)
-class Handed:
+class TimeBudget:
     """For how long an endpoint was told that it may work on a request, in seconds."""
 
     at: float
-    ask: str
+    request_id: str
     span_s: float
     # Whether no link was in trouble, so that it came when it was sent.
-    calm: bool
+    links_stable: bool
 
 
 @dataclasses.dataclass(slots=True)
--- a/packages/simulator/src/dykeswitch/simulator/operator.py
+++ b/packages/simulator/src/dykeswitch/simulator/operator.py
@@ -57,7 +57,7 @@
         self._conditions = conditions
         # Until when registries that gave no answer are passed over.
         self._silent: dict[str, float] = {}
-        self._duplicates: list[asyncio.Task[observations.Put]] = []
+        self._duplicates: list[asyncio.Task[observations.LayoutPut]] = []
 
     def _any_core(self) -> machines.Core:
         """Any registry but those that were silent just now, as long as there are others."""
@@ -70,7 +70,7 @@
         if not status:
             self._silent[core.registry.name] = self._fleet.clock.now() + AVOID_S
 
-    async def order(self, layout: dict[str, typing.Any], match: int | None = None) -> observations.Put:
+    async def order(self, layout: dict[str, typing.Any], match: int | None = None) -> observations.LayoutPut:
         """Send the very same order, each time to any registry, until its answer is clear."""
         begun = self._fleet.clock.now()
         pause = PAUSE_S
@@ -91,12 +91,12 @@
 
     async def _arrive_again(
         self, layout: dict[str, typing.Any], match: int | None, wait: float
-    ) -> observations.Put:
+    ) -> observations.LayoutPut:
         """An older order comes in a second time; nobody hears its answer."""
         await asyncio.sleep(wait)
         return await self._fleet.put(layout, self._any_core(), match, ANSWER_S, lose_answer=True)
 
-    async def read(self) -> observations.Got:
+    async def read(self) -> observations.LayoutRead:
         """What stands now, from whichever registry answers first."""
         begun = self._fleet.clock.now()
         while True:
@@ -109,7 +109,7 @@
                 raise UnsettledError(f"a read of {begun:.2f} had no answer in {GIVE_UP_S:.0f} s")
             await asyncio.sleep(PAUSE_S)
 
-    async def change(self) -> observations.Put:
+    async def change(self) -> observations.LayoutPut:
         """One change on top of what stands; one that lost its race is made anew on what won."""
         while True:
             newest = await self.read()
--- a/packages/simulator/src/dykeswitch/simulator/realengine.py
+++ b/packages/simulator/src/dykeswitch/simulator/realengine.py
@@ -63,14 +63,14 @@
 
     stage: RealStage
     up_s: float = 0.0
-    begun: float = 0.0
+    started_at: float = 0.0
     acts: list[Played] = dataclasses.field(default_factory=list)
     held: list[resources.Held] = dataclasses.field(default_factory=list)
 
     @property
     def spans(self) -> list[tuple[str, float, float]]:
         """Each act with its begin and end, by the stage's clock."""
-        return [(act.act, self.begun + act.begun, self.begun + act.ended) for act in self.acts]
+        return [(act.act, self.started_at + act.begun, self.started_at + act.ended) for act in self.acts]
 
 
 Tracks = typing.Mapping[str, typing.Sequence[Step]]
@@ -88,25 +88,25 @@
     prepare: Prepare = lambda stage: None,
 ) -> Day:
     """Play tracks on a fleet of a shape; no act begins after `seconds`, and without them all are played."""
-    async with real.running(shape, seed, roving=True, folder=folder) as fleet:
+    async with real.running(shape, seed, check_routes=True, folder=folder) as fleet:
         day = Day(RealStage(fleet))
         prepare(day.stage)
         day.up_s = await _start(day.stage)
         fleet.spawn(_watch_ends(day.stage))
-        traffic = asyncio.create_task(fleet.callers.drive(ENDLESS_S, scale))
-        roving = asyncio.create_task(fleet.callers.rove_for_ever(scenarios.ROVES))
+        traffic = asyncio.create_task(fleet.clients.run_traffic(ENDLESS_S, scale))
+        route_checks = asyncio.create_task(fleet.clients.check_routes_forever(scenarios.ROUTE_CHECKS_PER_S))
         await asyncio.sleep(TRAFFIC_FIRST_S)
         fleet.spawn(_watch_resources(day))
         base = resources.look(fleet, day.stage.now)
-        day.begun = day.stage.now
+        day.started_at = day.stage.now
         async with asyncio.TaskGroup() as group:
             for name, steps in tracks.items():
                 group.create_task(_play_track(day, name, steps, acts, seconds))
-        day.stage.story.calm = day.stage.now
+        day.stage.story.faults_ended_at = day.stage.now
         await asyncio.sleep(histories.RECOVER_S + CALM_SLACK_S)
         last = resources.look(fleet, day.stage.now)
-        fleet.callers.halt()
-        await asyncio.gather(traffic, roving)
+        fleet.clients.stop_sending()
+        await asyncio.gather(traffic, route_checks)
         day.stage.story.leaks += resources.grown(base, last)
         day.stage.story.leaks += await resources.still_at_work(fleet)
         _close(day.stage)
@@ -122,11 +122,11 @@
 ) -> None:
     for step in steps:
         await asyncio.sleep(step.after_s)
-        begun = day.stage.now - day.begun
+        begun = day.stage.now - day.started_at
         if seconds is not None and begun >= seconds:
             return
         await acts[step.act](day.stage.acting(step.seed))
-        day.acts.append(Played(name, step.act, begun, day.stage.now - day.begun))
+        day.acts.append(Played(name, step.act, begun, day.stage.now - day.started_at))
 
 
 async def _start(stage: RealStage) -> float:
@@ -134,7 +134,7 @@
     begun = stage.now
     up_s = await stage.fleet.start()
     body = json.dumps(stage.fleet.first, sort_keys=True)
-    first = observations.Put(begun, body, None, stage.now, 200, stage.fleet.first_version)
+    first = observations.LayoutPut(begun, body, None, stage.now, 200, stage.fleet.first_version)
     stage.story.puts.append(first)
     stage.fleet.spawn(stage.sample())
     await asyncio.sleep(scenarios.SETTLED_S)
@@ -164,9 +164,9 @@
     story, fleet = stage.story, stage.fleet
     # Processes are scheduled by the machine: what they do is seen a little later.
     story.wire_s = WIRE_S
-    story.hits, story.left = fleet.gather()
-    story.asks = list(fleet.record.asks.values())
-    story.roves = fleet.record.roves
-    story.runs = dict(fleet.record.runs)
+    story.arrivals, story.left = fleet.gather()
+    story.requests = list(fleet.record.requests.values())
+    story.route_checks = fleet.record.route_checks
+    story.executions = dict(fleet.record.executions)
     story.owners = {h.name: h.spec["service"] for h in fleet.hosts}
     story.end = stage.now
--- a/packages/simulator/src/dykeswitch/simulator/realfaults.py
+++ b/packages/simulator/src/dykeswitch/simulator/realfaults.py
@@ -20,7 +20,7 @@
     await stage.kill(proxy)
     await asyncio.sleep(1)
     stage.again(proxy)
-    stage.gone([proxy], begun)
+    stage.mark_gone([proxy], begun)
     await asyncio.sleep(3)
 
 
@@ -33,7 +33,7 @@
     await asyncio.sleep(1)
     for proxy in killed:
         stage.again(proxy)
-    stage.gone(killed, begun)
+    stage.mark_gone(killed, begun)
     await asyncio.sleep(4)
 
 
@@ -64,7 +64,7 @@
     host.tell(signal.SIGTERM)
     await asyncio.sleep(4)
     proxy.tell(signal.SIGCONT)
-    stage.gone([proxy], begun)
+    stage.mark_gone([proxy], begun)
     await asyncio.sleep(3)
 
 
@@ -73,7 +73,7 @@
     proxy = stage.rng.choice(stage.fleet.proxies)
     names = [p.name for p in stage.fleet.proxies] + [registry.name for registry, _ in stage.fleet.cores]
     stage.fleet.relay.cut([proxy.name], names)
-    holding = asyncio.create_task(_hold_on(stage, proxy, 9.0))
+    holding = asyncio.create_task(_keep_sending(stage, proxy, 9.0))
     await asyncio.sleep(0.5)
     await stage.put(stage.core())
     host = stage.rng.choice(stage.live())
@@ -87,19 +87,19 @@
     await asyncio.sleep(2.0)
 
 
-async def _hold_on(stage: RealStage, proxy: real.Process, span: float) -> None:
+async def _keep_sending(stage: RealStage, proxy: real.Process, span: float) -> None:
     """Callers that come to one proxy all the time, whatever the platform or it may say."""
-    crowd, end = stage.fleet.callers, stage.now + span
+    crowd, end = stage.fleet.clients, stage.now + span
 
-    async def rude() -> None:
-        ask = await crowd.ask(stage.rng.choice(stage.fleet.shape.services), proxy.web)
-        stage.story.rude.add(ask.name)
+    async def send_ignoring_readiness() -> None:
+        request = await crowd.send_request(stage.rng.choice(stage.fleet.shape.services), proxy.web)
+        stage.story.ignoring_readiness.add(request.name)
 
     async with asyncio.TaskGroup() as group:
         while stage.now < end:
             await asyncio.sleep(0.1)
-            group.create_task(rude())
-            group.create_task(crowd.rove(proxy.web))
+            group.create_task(send_ignoring_readiness())
+            group.create_task(crowd.check_route(proxy.web))
 
 
 async def cut_proxies_from_cores(stage: RealStage) -> None:
@@ -154,7 +154,7 @@
 
     async def seated() -> bool:
         try:
-            reply = await stage.fleet.machine.web.ask("GET", store.web, "/readyz", [], b"", 1)
+            reply = await stage.fleet.machine.web.request("GET", store.web, "/readyz", [], b"", 1)
         except (OSError, TimeoutError):
             return False
         return reply.status == 200
@@ -226,7 +226,7 @@
     stage.notes["large layout"] = {
         "bytes": len(put.body),
         "status": put.status,
-        "took_s": round(put.ended - put.begun, 2),
+        "took_s": round(put.ended_at - put.started_at, 2),
     }
     await asyncio.sleep(3)
     await stage.put(stage.core())
@@ -254,8 +254,8 @@
     """Work of 3, 5 and 8 s is in hand when the polite signal comes."""
     proxy = stage.rng.choice(stage.fleet.proxies)
     writing = next(s for s in stage.fleet.shape.services if s.writing)
-    asks = [
-        asyncio.create_task(stage.fleet.callers.ask(writing, proxy.web, f"&work={span}"))
+    requests = [
+        asyncio.create_task(stage.fleet.clients.send_request(writing, proxy.web, f"&work={span}"))
         for span in (3, 5, 8)
     ]
     await asyncio.sleep(0.2)
@@ -264,7 +264,7 @@
     code = await proxy.gone(histories.GRACE_S + 1)
     took = stage.now - begun
     stage.story.stops.append(histories.Span(proxy.web, begun, stage.now))
-    done = await asyncio.gather(*asks)
+    done = await asyncio.gather(*requests)
     seen = [(a.status, a.result, a.retry_after) for a in done]
     stage.notes["long work over a stop"] = [code, round(took, 2), seen]
     if seen != [(200, 0, False), (200, 0, False), (504, 109, False)] or took > histories.GRACE_S:
--- a/packages/simulator/src/dykeswitch/simulator/realstage.py
+++ b/packages/simulator/src/dykeswitch/simulator/realstage.py
@@ -44,7 +44,7 @@
     def layout(self) -> dict[str, typing.Any]:
         """A new layout, which no earlier one is like."""
         marker = next(self._markers)
-        doc = shapes.roving(copy.deepcopy(self.fleet.shape.layout()), marker)
+        doc = shapes.rotating_layout(copy.deepcopy(self.fleet.shape.layout()), marker)
         doc["rules"].append({"path": f"/marker-{marker}", "service": self.fleet.shape.services[0].name})
         return doc
 
@@ -54,34 +54,36 @@
 
     async def put(
         self, core: tuple[real.Process, real.Process], doc: dict[str, typing.Any] | None = None
-    ) -> observations.Put:
+    ) -> observations.LayoutPut:
         """Send a layout to a core, and note what came of it."""
         body = json.dumps(doc or self.layout(), sort_keys=True)
-        put = observations.Put(self.now, body, None)
+        put = observations.LayoutPut(self.now, body, None)
         self.story.puts.append(put)
         try:
-            reply = await self.fleet.machine.web.ask("PUT", core[0].web, "/v1/layout", [], body.encode(), 5)
+            reply = await self.fleet.machine.web.request(
+                "PUT", core[0].web, "/v1/layout", [], body.encode(), 5
+            )
             put.status = reply.status
             if reply.status == 200:
                 put.version = int(json.loads(reply.body)["version"])
         except (OSError, TimeoutError):
             put.status = 0
-        put.ended = self.now
+        put.ended_at = self.now
         return put
 
-    async def get(self, core: tuple[real.Process, real.Process]) -> observations.Got:
+    async def get(self, core: tuple[real.Process, real.Process]) -> observations.LayoutRead:
         """Read the newest layout back from a core, and note it."""
-        got = observations.Got(self.now)
-        self.story.gots.append(got)
+        got = observations.LayoutRead(self.now)
+        self.story.reads.append(got)
         try:
-            reply = await self.fleet.machine.web.ask("GET", core[0].web, "/v1/layout", [], b"", 5)
+            reply = await self.fleet.machine.web.request("GET", core[0].web, "/v1/layout", [], b"", 5)
             got.status = reply.status
             if reply.status == 200:
-                got.version = int(reply.head("dykeswitch-version") or 0)
+                got.version = int(reply.header("dykeswitch-version") or 0)
                 got.body = json.dumps(json.loads(reply.body), sort_keys=True)
         except (OSError, TimeoutError):
             got.status = 0
-        got.ended = self.now
+        got.ended_at = self.now
         return got
 
     async def sample(self) -> None:
@@ -91,7 +93,7 @@
             boot = self._boots.get(proxy.name, 0)
             at = self.now
             try:
-                reply = await self.fleet.machine.web.ask("GET", proxy.web, "/readyz", [], b"", 0.5)
+                reply = await self.fleet.machine.web.request("GET", proxy.web, "/readyz", [], b"", 0.5)
                 page = json.loads(reply.body)
             except (OSError, TimeoutError, ValueError):
                 return
@@ -103,7 +105,7 @@
             await asyncio.gather(*(one(p) for p in self.fleet.proxies if p.running()))
             await self.clock.sleep(0.25)
 
-    def gone(self, proxies: typing.Iterable[real.Process], begun: float) -> None:
+    def mark_gone(self, proxies: typing.Iterable[real.Process], begun: float) -> None:
         """Proxies were gone or frozen until now: what callers lost by it is excused."""
         for proxy in proxies:
             span = histories.Span(proxy.web, begun, self.now + stages.PLATFORM_S)
@@ -119,8 +121,8 @@
         self._boots[process.name] = self._boots.get(process.name, 0) + 1
         process.start()
         for span in self.story.closed:
-            if span.name == process.web and span.ended == math.inf:
-                span.ended = self.now + stages.PLATFORM_S
+            if span.name == process.web and span.ended_at == math.inf:
+                span.ended_at = self.now + stages.PLATFORM_S
 
     def new_host(self, service: str, address: str, **more: typing.Any) -> real.Host:
         """Start one more endpoint of a service; `more` goes into what it is told."""
--- a/packages/simulator/src/dykeswitch/simulator/realtrial.py
+++ b/packages/simulator/src/dykeswitch/simulator/realtrial.py
@@ -5,7 +5,7 @@
 
 import dykeswitch.simulator.history as histories
 import dykeswitch.simulator.realengine as engine
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 import dykeswitch.standin.shape as shapes
 from dykeswitch.simulator.realfaults import ACTS
 
@@ -29,8 +29,8 @@
     for put in story.puts:
         if put.status != 200:
             continue
-        late = [s.at for s in story.samples if s.ready and s.at > put.ended and s.layout < put.version]
-        took.append(max((at - put.ended for at in late if at - put.ended < 30), default=0.0))
+        late = [s.at for s in story.samples if s.ready and s.at > put.ended_at and s.layout < put.version]
+        took.append(max((at - put.ended_at for at in late if at - put.ended_at < 30), default=0.0))
     return took
 
 
@@ -47,10 +47,10 @@
     story = day.stage.story
     breaches = histories.judge(story)
     return {
-        **callers.tally(day.stage.fleet.record, story.expiry_s),
+        **clients.summarize(day.stage.fleet.record, story.expiry_s),
         "layout_spread_worst_s": round(max(_spread(story), default=0.0), 2),
         "changes": sum(1 for p in story.puts if p.status == 200),
-        "roves": len(story.roves),
+        "roves": len(story.route_checks),
         "floor_used": round(histories.floor_used(story), 1),
         "excused": histories.excuses(story),
         "back_s": histories.back_by_fault(story, day.spans),
--- a/packages/simulator/src/dykeswitch/simulator/registerbench.py
+++ b/packages/simulator/src/dykeswitch/simulator/registerbench.py
@@ -21,14 +21,14 @@
     def __init__(
         self, node_address: str, disk: disks.SimDisk, machine: typing.Any, rng: random.Random
     ) -> None:
-        self.voter = voters.Voter(disk, machine.points, rng)
+        self.voter = voters.Voter(disk, machine.fault_points, rng)
         self._address = node_address
         self._machine = machine
 
     async def run(self) -> None:
         await self.voter.open()
-        ear = frames.Ear(self.voter.kinds(), lambda event, what: None)
-        await self._machine.net.listen(self._address, ear.serve)
+        server = frames.CallServer(self.voter.kinds(), lambda event, what: None)
+        await self._machine.net.listen(self._address, server.serve)
         await asyncio.Event().wait()
 
     def stop(self) -> None:
@@ -62,17 +62,17 @@
         await asyncio.sleep(0.1)
         pairs = tuple(sorted((n.daemon.voter.disk_id, s) for n, s in zip(self.nodes, self.addresses)))
         members = register.MemberSet(1, (pairs,))
-        caller = frames.Caller(self.outside.net)
+        call_client = frames.CallClient(self.outside.net)
         for disk, address in pairs:
-            await caller.ask(address, "install", {"disk": disk, "set": members.wire()}, 1.0)
+            await call_client.call(address, "install", {"disk": disk, "set": members.to_wire()}, 1.0)
         self.members = members
         return members
 
     def proposer(self, name: str, machine: ports.Machine | None = None) -> proposers.Proposer:
         """A proposer that knows the member set, on a machine of its own if one is given."""
         here = machine or self.outside
-        caller = frames.Caller(here.net)
-        made = proposers.Proposer(name, caller, here.clock, here.points, 0.5, random.Random(name))
+        call_client = frames.CallClient(here.net)
+        made = proposers.Proposer(name, call_client, here.clock, here.fault_points, 0.5, random.Random(name))
         made.quorum.adopt(self.members)
         return made
 
@@ -80,7 +80,7 @@
 def put(body: bytes, op: str) -> proposers.Step:
     """A change to a body; made once however often it is tried."""
 
-    def step(now: register.Value) -> register.Value | outcome.Bad:
-        return now if now.made(op) is not None else now.next(body, op)
+    def step(now: register.Value) -> register.Value | outcome.Failure:
+        return now if now.version_of(op) is not None else now.successor(body, op)
 
     return step
--- a/packages/simulator/src/dykeswitch/simulator/resources.py
+++ b/packages/simulator/src/dykeswitch/simulator/resources.py
@@ -74,7 +74,7 @@
     found = []
     for proxy in fleet.proxies:
         try:
-            reply = await fleet.machine.web.ask("GET", proxy.web, "/-/counters", [], b"", 5.0)
+            reply = await fleet.machine.web.request("GET", proxy.web, "/-/counters", [], b"", 5.0)
         except (OSError, TimeoutError) as flaw:
             found.append(f"{proxy.name} tells no counts after the calm: {flaw}")
             continue
--- a/packages/simulator/src/dykeswitch/simulator/scenario.py
+++ b/packages/simulator/src/dykeswitch/simulator/scenario.py
@@ -11,7 +11,7 @@
 import dykeswitch.simulator.history as histories
 import dykeswitch.simulator.leaks as leaks
 import dykeswitch.simulator.stage as stages
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 import dykeswitch.standin.shape as shapes
 
 FAULTS: typing.Final = faulty.FAULTS
@@ -21,7 +21,7 @@
 # Before this the fleet is young: not every duty has its owner yet.
 SETTLED_S: typing.Final = 11.0
 # Requests a second that each layout sends elsewhere.
-ROVES: typing.Final = 12.0
+ROUTE_CHECKS_PER_S: typing.Final = 12.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -52,12 +52,12 @@
 ) -> Verdict:
     """A fleet with traffic, some faults one after another, then calm."""
     sealed = not faulty.SEALED.isdisjoint(faults)
-    fleet = fleets.SimFleet(shape, seed, scratch, scale, bounds, roving=True, sealed=sealed)
+    fleet = fleets.SimFleet(shape, seed, scratch, scale, bounds, check_routes=True, sealed=sealed)
     stage = stages.Stage(fleet, random.Random(seed + 3))
     up = await fleet.start()
     await asyncio.sleep(SETTLED_S)
-    traffic = fleet.spawn(fleet.callers.drive(100000.0, scale))
-    roving = fleet.spawn(fleet.callers.rove_for_ever(ROVES))
+    traffic = fleet.spawn(fleet.clients.run_traffic(100000.0, scale))
+    route_checks = fleet.spawn(fleet.clients.check_routes_forever(ROUTE_CHECKS_PER_S))
     await asyncio.sleep(1.0)
     base = leaks.count(fleet)
     spans: list[tuple[str, float, float]] = []
@@ -67,33 +67,33 @@
         await ALL[name](stage)
         spans.append((name, begun, stage.now))
         await asyncio.sleep(1.0)
-    calm = stage.now
+    faults_ended_at = stage.now
     await asyncio.sleep(tail)
-    fleet.callers.halt()
-    await asyncio.gather(traffic, roving)
+    fleet.clients.stop_sending()
+    await asyncio.gather(traffic, route_checks)
     story = stage.story
     story.read_back = [await fleet.get(core) for core in fleet.cores]
-    story.asks = list(fleet.record.asks.values())
-    story.roves = fleet.record.roves
-    story.runs = dict(fleet.record.runs)
-    story.starts = dict(fleet.record.starts)
-    story.hits, story.turned = fleet.hits, fleet.turned
-    story.handed = fleet.handed
+    story.requests = list(fleet.record.requests.values())
+    story.route_checks = fleet.record.route_checks
+    story.executions = dict(fleet.record.executions)
+    story.execution_starts = dict(fleet.record.execution_starts)
+    story.arrivals, story.misdirected = fleet.arrivals, fleet.misdirected
+    story.time_budgets = fleet.budgets
     story.owners = {n: e.service for n, e in fleet.endpoints.items()}
     story.left = fleet.left
-    story.puts, story.gots, story.samples = fleet.puts, fleet.gots, fleet.samples
-    story.calm, story.end = calm, stage.now
+    story.puts, story.reads, story.samples = fleet.puts, fleet.reads, fleet.samples
+    story.faults_ended_at, story.end = faults_ended_at, stage.now
     # Long enough for what the last exchanges left behind to be put away.
     await asyncio.sleep(2.0)
     story.leaks = leaks.grown(base, leaks.count(fleet))
     for node in fleet.world.nodes.values():
-        if node.flaw:
-            story.crashes.append(f"{node.name}: {node.flaw}")
-    figures = callers.tally(fleet.record, story.expiry_s)
+        if node.crash:
+            story.crashes.append(f"{node.name}: {node.crash}")
+    figures = clients.summarize(fleet.record, story.expiry_s)
     figures["up_s"] = round(up, 2)
     figures["floor_used"] = round(histories.floor_used(story), 1)
-    figures["hits"] = len(fleet.hits)
-    figures["roves"] = len(story.roves)
+    figures["hits"] = len(fleet.arrivals)
+    figures["roves"] = len(story.route_checks)
     return Verdict(
         seed,
         shape.name,
--- a/packages/simulator/src/dykeswitch/simulator/soak/acts.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/acts.py
@@ -7,7 +7,7 @@
 
 import dykeswitch.simulator.history as histories
 import dykeswitch.simulator.realfaults as realfaults
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 import dykeswitch.standin.fleet as real
 from dykeswitch.simulator.realstage import RealStage
 
@@ -62,7 +62,7 @@
     """Wait until the platform has seen a proxy ready, as whoever rolls a fleet does."""
     begun = stage.now
     while (  # noqa: ASYNC110
-        proxy.web not in stage.fleet.callers.ready and stage.now - begun < histories.RECOVER_S
+        proxy.web not in stage.fleet.clients.ready and stage.now - begun < histories.RECOVER_S
     ):
         await asyncio.sleep(0.1)
 
@@ -71,14 +71,14 @@
     """A proxy stops while it has requests that take from one to four seconds."""
     proxy = stage.rng.choice(stage.fleet.proxies)
     services = stage.fleet.shape.services
-    asks = [
-        asyncio.create_task(stage.fleet.callers.ask(service, proxy.web, f"&work={span}"))
+    requests = [
+        asyncio.create_task(stage.fleet.clients.send_request(service, proxy.web, f"&work={span}"))
         for service in services
         for span in (1, 2, 4)
     ]
     await asyncio.sleep(0.3)
     await end_in_order(stage, proxy)
-    await asyncio.gather(*asks)
+    await asyncio.gather(*requests)
     stage.again(proxy)
     await _until_ready(stage, proxy)
 
@@ -99,7 +99,7 @@
         proxy.tell(signal.SIGSTOP)
         await asyncio.sleep(stage.rng.uniform(0.2, 2.5))
         proxy.tell(signal.SIGCONT)
-        stage.gone([proxy], begun)
+        stage.mark_gone([proxy], begun)
         await asyncio.sleep(_gap(stage))
 
 
@@ -169,13 +169,13 @@
         await asyncio.sleep(stage.rng.uniform(0.1, 0.6))
 
 
-def mannered(**manners: typing.Any) -> realfaults.Act:
+def with_behavior(**behavior: typing.Any) -> realfaults.Act:
     """Callers that come in one manner for a while."""
 
     async def act(stage: RealStage) -> None:
-        stage.fleet.callers.manners = callers.Manners(**manners)
+        stage.fleet.clients.behavior = clients.ClientBehavior(**behavior)
         await asyncio.sleep(MANNER_S)
-        stage.fleet.callers.manners = callers.Manners()
+        stage.fleet.clients.behavior = clients.ClientBehavior()
 
     return act
 
@@ -192,9 +192,9 @@
     "odd_endpoints": odd_endpoints,
     "row_of_hangups": row_of_hangups,
     "row_of_repeated_stops": row_of_repeated_stops,
-    "callers_leave": mannered(kept_share=0.9, leave_share=0.6, leave_within_s=0.1),
+    "callers_leave": with_behavior(kept_share=0.9, leave_share=0.6, leave_within_s=0.1),
     # So few requests over so many kept connections that each rests for long between two.
-    "callers_rest": mannered(kept_share=1.0),
-    "callers_try_again": mannered(kept_share=0.7, tries=2),
-    "callers_stay": mannered(kept_share=0.95),
+    "callers_rest": with_behavior(kept_share=1.0),
+    "callers_try_again": with_behavior(kept_share=0.7, tries=2),
+    "callers_stay": with_behavior(kept_share=0.95),
 }
--- a/packages/simulator/src/dykeswitch/simulator/soak/plots.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/plots.py
@@ -21,10 +21,10 @@
     """Seconds, requests begun in each, and those among them that brought no good answer."""
     begun: collections.Counter[int] = collections.Counter()
     failed: collections.Counter[int] = collections.Counter()
-    for ask in day.stage.story.asks:
-        second = int(ask.begun - day.begun)
+    for request in day.stage.story.requests:
+        second = int(request.started_at - day.started_at)
         begun[second] += 1
-        failed[second] += ask.status != 200 and ask.left_at is None
+        failed[second] += request.status != 200 and request.left_at is None
     seconds = sorted(begun)
     return seconds, [begun[s] for s in seconds], [failed[s] for s in seconds]
 
@@ -50,7 +50,7 @@
     requests.set_ylabel("requests a second")
     errors.plot(seconds, failed, color="tab:red")
     errors.set_ylabel("without a good answer")
-    at = [held.at - day.begun for held in day.held]
+    at = [held.at - day.started_at for held in day.held]
     connections.plot(at, [held.descriptors for held in day.held])
     connections.set_ylabel("descriptors")
     memory.plot(at, [held.memory_bytes / MEGABYTE for held in day.held])
--- a/packages/simulator/src/dykeswitch/simulator/soak/sizes.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/sizes.py
@@ -4,7 +4,7 @@
 import pathlib
 import typing
 
-import dykeswitch.standin.nature as natures
+import dykeswitch.standin.nature as profiles
 import dykeswitch.standin.shape as shapes
 
 PROCESSES_MOST: typing.Final = 300
@@ -18,7 +18,7 @@
 LEAST_PART: typing.Final = 0.01
 
 # Endpoints that give up work whose caller closed the connection, as most of the users' do.
-SOAKED: typing.Final = natures.Nature(drops=True, idle_s=10.0)
+SOAKED: typing.Final = profiles.EndpointProfile(drops=True, idle_s=10.0)
 # Small enough for a run beside all other tests.
 PUDDLE: typing.Final = shapes.Shape(
     "puddle",
@@ -62,15 +62,15 @@
 
 def sized(shape: shapes.Shape, nodes: int) -> shapes.Shape:
     """A shape of about so many processes, or as it is if 0; its endpoints drop work that is broken off."""
-    services = tuple(dataclasses.replace(service, nature=SOAKED) for service in shape.services)
+    services = tuple(dataclasses.replace(service, profile=SOAKED) for service in shape.services)
     whole = dataclasses.replace(shape, services=services)
     if not nodes:
         return whole
     fixed = 2 * whole.cores + sum(slot.endpoints for slot in shapes.SLOTS)
     part = max(0.0, nodes - fixed) / (processes(whole) - fixed)
-    made = whole.smaller(part)
+    made = whole.scaled_down(part)
     # Rounding may add a few, and the least of everything may still be more than was asked for.
     while processes(made) > nodes and part > LEAST_PART:
         part *= SHRINK
-        made = whole.smaller(part)
+        made = whole.scaled_down(part)
     return made
--- a/packages/simulator/src/dykeswitch/simulator/stage.py
+++ b/packages/simulator/src/dykeswitch/simulator/stage.py
@@ -13,8 +13,8 @@
 import dykeswitch.simulator.observations as observations
 import dykeswitch.simulator.operator as operators
 import dykeswitch.simulator.world as worlds
-import dykeswitch.standin.caller as callers
-import dykeswitch.standin.nature as natures
+import dykeswitch.standin.caller as clients
+import dykeswitch.standin.nature as profiles
 import dykeswitch.standin.shape as shapes
 
 Fault = typing.Callable[["Stage"], typing.Awaitable[None]]
@@ -38,13 +38,13 @@
         return self.fleet.clock.now()
 
     @property
-    def wires(self) -> typing.Any:
-        return self.fleet.world.wires
+    def links(self) -> typing.Any:
+        return self.fleet.world.links
 
     def note(self, text: str) -> None:
         self.notes.append((round(self.now, 3), text))
 
-    def flaw(self, text: str) -> None:
+    def report_failure(self, text: str) -> None:
         """Something that no check of the history would see."""
         self.story.crashes.append(f"{text}, at {self.now:.2f}")
 
@@ -53,7 +53,7 @@
     def layout(self) -> dict[str, typing.Any]:
         """A layout like the standing one, but that it sends some requests elsewhere."""
         self.marker += 1
-        doc = shapes.roving(copy.deepcopy(self.fleet.shape.layout()), self.marker)
+        doc = shapes.rotating_layout(copy.deepcopy(self.fleet.shape.layout()), self.marker)
         doc["rules"].append({"path": f"/marker-{self.marker}", "service": self.fleet.shape.services[0].name})
         return doc
 
@@ -68,7 +68,7 @@
             doc["rulez"] = []
         return doc
 
-    async def change(self, core: machines.Core | None = None) -> observations.Put:
+    async def change(self, core: machines.Core | None = None) -> observations.LayoutPut:
         """One more layout, by some core."""
         return await self.fleet.put(self.layout(), core or self.core())
 
@@ -115,7 +115,7 @@
         self.fresh += 1
         name = f"{service.name}-new{self.fresh}"
         made = self.fleet.endpoint(name, service, address, self.fresh)
-        made.nature = dataclasses.replace(made.nature, **changes)
+        made.profile = dataclasses.replace(made.profile, **changes)
         self.fleet.wake(made, silent_s)
         return name
 
@@ -130,20 +130,20 @@
     # How endpoints and callers are for a while.
 
     @contextlib.contextmanager
-    def natured(self, names: typing.Sequence[str], **changes: typing.Any) -> typing.Iterator[None]:
+    def with_profile(self, names: typing.Sequence[str], **changes: typing.Any) -> typing.Iterator[None]:
         """Endpoints of another nature; their pace is taken times the one given."""
-        before: dict[str, natures.Nature] = {}
+        before: dict[str, profiles.EndpointProfile] = {}
         for name in names:
             endpoint = self.fleet.endpoints[name]
-            before[name] = old = endpoint.nature
+            before[name] = old = endpoint.profile
             fresh = {**changes, "pace": old.pace * changes.get("pace", 1.0)}
-            endpoint.nature = dataclasses.replace(old, **fresh)
+            endpoint.profile = dataclasses.replace(old, **fresh)
         yield
         for name, old in before.items():
-            self.fleet.endpoints[name].nature = old
+            self.fleet.endpoints[name].profile = old
 
     @contextlib.contextmanager
-    def planned(
+    def with_fault_plan(
         self, names: typing.Sequence[str], fault: str, share: float = 1.0, **more: bool
     ) -> typing.Iterator[None]:
         """Endpoints that fail in one way."""
@@ -157,13 +157,13 @@
             plan.fault, plan.probe_too, plan.probe_only = "none", False, False
 
     @contextlib.contextmanager
-    def mannered(self, **manners: typing.Any) -> typing.Iterator[None]:
+    def with_behavior(self, **behavior: typing.Any) -> typing.Iterator[None]:
         """Callers who come in another manner."""
-        callers_of = self.fleet.callers
-        before = callers_of.manners
-        callers_of.manners = callers.Manners(**manners)
+        clients_of = self.fleet.clients
+        before = clients_of.behavior
+        clients_of.behavior = clients.ClientBehavior(**behavior)
         yield
-        callers_of.manners = before
+        clients_of.behavior = before
 
     @contextlib.contextmanager
     def failing(self, *services: str) -> typing.Iterator[None]:
@@ -177,7 +177,7 @@
 
     # Machines that go and come.
 
-    def gone(self, edges: typing.Iterable[machines.Edge], begun: float) -> None:
+    def mark_gone(self, edges: typing.Iterable[machines.Edge], begun: float) -> None:
         """Proxies were gone or frozen until now: what callers lost by it is excused."""
         for edge in edges:
             span = histories.Span(edge.web, begun, self.now + PLATFORM_S)
@@ -187,10 +187,10 @@
         """An orderly stop; how long it took. Needing the hard signal is a flaw."""
         begun = self.now
         if not await node.stop(histories.GRACE_S):
-            self.flaw(f"{node.name} had to be killed after its grace")
+            self.report_failure(f"{node.name} had to be killed after its grace")
         return self.now - begun
 
-    async def seated(self) -> None:
+    async def wait_until_all_vote(self) -> None:
         """Wait until every living store has a seat in one and the same set."""
         cores = self.fleet.cores
 
@@ -198,7 +198,7 @@
             if any(c.store.daemon is None or not c.store.up for c in cores):
                 return False
             voters = [c.store.daemon.voter for c in cores]
-            return all(v.seated() and not v.members.joint() for v in voters) and (
+            return all(v.has_vote() and not v.members.is_joint() for v in voters) and (
                 len({v.members.epoch for v in voters}) == 1
             )
 
@@ -207,7 +207,7 @@
             await self.fleet.until(so, 15, "every store seated")
             self.note(f"seated after {self.now - begun:.2f} s")
         except TimeoutError:
-            self.flaw(f"a store was not seated within 15 s of {begun:.2f}")
+            self.report_failure(f"a store was not seated within 15 s of {begun:.2f}")
 
     def new_core(self, old: machines.Core, seeds: tuple[str, ...] = ()) -> machines.Core:
         """An empty core at a new address, the old seeds in its settings, for one that is gone."""
@@ -223,16 +223,16 @@
 
     # Callers that hold on.
 
-    async def hold_on(self, edge: machines.Edge, span: float) -> None:
+    async def keep_sending(self, edge: machines.Edge, span: float) -> None:
         """Callers that come to one proxy all the time, whatever the platform or it may say."""
         end = self.now + span
         services = self.fleet.shape.services
         async with asyncio.TaskGroup() as group:
             while self.now < end:
                 await asyncio.sleep(0.1)
-                group.create_task(self._rude(self.rng.choice(services), edge.web))
-                group.create_task(self.fleet.callers.rove(edge.web))
+                group.create_task(self._send_ignoring_readiness(self.rng.choice(services), edge.web))
+                group.create_task(self.fleet.clients.check_route(edge.web))
 
-    async def _rude(self, service: shapes.ServiceShape, address: str) -> None:
-        ask = await self.fleet.callers.ask(service, address)
-        self.story.rude.add(ask.name)
+    async def _send_ignoring_readiness(self, service: shapes.ServiceShape, address: str) -> None:
+        request = await self.fleet.clients.send_request(service, address)
+        self.story.ignoring_readiness.add(request.name)
--- a/packages/simulator/src/dykeswitch/simulator/standing.py
+++ b/packages/simulator/src/dykeswitch/simulator/standing.py
@@ -11,7 +11,7 @@
 import typing
 
 import dykeswitch.simulator.observations as observations
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 
 Doc = dict[str, typing.Any]
 # How many endpoints a request may run on where its rule says nothing.
@@ -23,32 +23,32 @@
     """A layout, from when on it may be seen and from when on a newer one is surely there."""
 
     version: int | None
-    begun: float
+    started_at: float
     over: float
     doc: Doc
     known: dict[tuple[str, str, str], Doc | None] = dataclasses.field(default_factory=dict)
 
-    def rule(self, ask: callers.Ask) -> Doc | None:
+    def rule(self, request: clients.Request) -> Doc | None:
         """The rule of this layout for a request, if there is one."""
-        key = (ask.method, ask.host, ask.path)
+        key = (request.method, request.host, request.path)
         if key not in self.known:
             self.known[key] = wanted(self.doc, *key)
         return self.known[key]
 
-    def service(self, ask: callers.Ask) -> str:
+    def service(self, request: clients.Request) -> str:
         """The service that this layout sends a request to; empty if to none."""
-        rule = self.rule(ask)
+        rule = self.rule(request)
         return str(rule["service"]) if rule is not None else ""
 
-    def allows_another(self, ask: callers.Ask, runs: int) -> bool:
+    def allows_another(self, request: clients.Request, execution_count: int) -> bool:
         """Whether this layout lets a request that has run so many times run once more."""
-        rule = self.rule(ask)
+        rule = self.rule(request)
         if rule is None or rule.get("writing"):
             return False
-        return runs < int(rule.get("max_tries", TRIES))
+        return execution_count < int(rule.get("max_tries", TRIES))
 
     def may_show(self, begun: float, ended: float, slack: float) -> bool:
-        return self.begun <= ended and begun <= self.over + slack
+        return self.started_at <= ended and begun <= self.over + slack
 
 
 def wanted(doc: Doc, method: str, host: str, path: str) -> Doc | None:
@@ -66,20 +66,20 @@
     return best[1] if best else None
 
 
-def all_of(puts: typing.Sequence[observations.Put]) -> list[Standing]:
+def all_of(puts: typing.Sequence[observations.LayoutPut]) -> list[Standing]:
     """Every layout that may ever have stood."""
     good = sorted((p for p in puts if p.status == 200), key=lambda p: p.version)
     found: list[Standing] = []
     for put in good:
         # A repeat of a layout has its version, and does not end its life.
-        over = min((p.ended for p in good if p.version > put.version), default=math.inf)
-        found.append(Standing(put.version, put.begun, over, json.loads(put.body)))
+        over = min((p.ended_at for p in good if p.version > put.version), default=math.inf)
+        found.append(Standing(put.version, put.started_at, over, json.loads(put.body)))
     for put in puts:
         # No answer, or "unknown": it may have been taken up until a later change was.
         if put.status in (0, 504):
-            later = min((p.ended for p in good if p.begun > put.ended), default=math.inf)
+            later = min((p.ended_at for p in good if p.started_at > put.ended_at), default=math.inf)
             try:
-                found.append(Standing(None, put.begun, later, json.loads(put.body)))
+                found.append(Standing(None, put.started_at, later, json.loads(put.body)))
             except ValueError:
                 continue
     return found
@@ -87,55 +87,66 @@
 
 def wrong_service(
     stood: typing.Sequence[Standing],
-    roves: dict[str, callers.Ask],
-    hits: typing.Sequence[tuple[float, str, str]],
+    route_checks: dict[str, clients.Request],
+    arrivals: typing.Sequence[tuple[float, str, str]],
     owners: dict[str, str],
     slack: float,
 ) -> list[str]:
     """Requests that reached a service to which no layout standing at that moment sent them."""
     found = []
-    for at, name, endpoint in hits:
-        ask = roves.get(name)
-        if ask is None:
+    for at, name, endpoint in arrivals:
+        request = route_checks.get(name)
+        if request is None:
             continue
         service = owners.get(endpoint, "")
-        if service not in {s.service(ask) for s in stood if s.may_show(at, at, slack)}:
-            ever = [s.version for s in stood if s.begun <= at and s.service(ask) == service]
+        if service not in {s.service(request) for s in stood if s.may_show(at, at, slack)}:
+            ever = [s.version for s in stood if s.started_at <= at and s.service(request) == service]
             since = f"as did only layouts {ever} before" if ever else "as no layout ever did"
-            found.append(f"{name} ({ask.method} {ask.host}{ask.path}) reached {service} at {at:.2f}, {since}")
+            found.append(
+                f"{name} ({request.method} {request.host}{request.path}) "
+                f"reached {service} at {at:.2f}, {since}"
+            )
     return found
 
 
-def wrong_refusal(stood: typing.Sequence[Standing], roves: dict[str, callers.Ask], slack: float) -> list[str]:
+def wrong_refusal(
+    stood: typing.Sequence[Standing], route_checks: dict[str, clients.Request], slack: float
+) -> list[str]:
     """Requests told that there is no rule for them while every layout had one."""
     return [
-        f"{a.name} ({a.method} {a.host}{a.path}) was told {a.result} at {a.ended:.2f}"
-        for a in roves.values()
-        if a.result == 101 and all(s.service(a) for s in stood if s.may_show(a.begun, a.ended, slack))
+        f"{a.name} ({a.method} {a.host}{a.path}) was told {a.result} at {a.ended_at:.2f}"
+        for a in route_checks.values()
+        if a.result == 101 and all(s.service(a) for s in stood if s.may_show(a.started_at, a.ended_at, slack))
     ]
 
 
 def run_again(
     stood: typing.Sequence[Standing],
-    roves: dict[str, callers.Ask],
-    starts: typing.Mapping[str, typing.Sequence[callers.Run]],
+    route_checks: dict[str, clients.Request],
+    execution_starts: typing.Mapping[str, typing.Sequence[clients.Execution]],
     slack: float,
 ) -> list[str]:
     """Requests that ran once more though no layout standing at that moment let them."""
     found = []
-    for name, ask in roves.items():
-        for runs, run in enumerate(sorted(starts.get(name, ()), key=lambda run: run.at)):
-            if runs and not any(
-                s.allows_another(ask, runs) for s in stood if s.may_show(run.at, run.at, slack)
+    for name, request in route_checks.items():
+        for execution_count, execution in enumerate(
+            sorted(execution_starts.get(name, ()), key=lambda execution: execution.at)
+        ):
+            if execution_count and not any(
+                s.allows_another(request, execution_count)
+                for s in stood
+                if s.may_show(execution.at, execution.at, slack)
             ):
-                found.append(f"{name} ({ask.method} {ask.host}{ask.path}) ran again at {run.at:.2f}")
+                found.append(
+                    f"{name} ({request.method} {request.host}{request.path}) ran again at {execution.at:.2f}"
+                )
     return found
 
 
 def slips(
     stood: typing.Sequence[Standing],
-    roves: dict[str, callers.Ask],
-    hits: typing.Sequence[tuple[float, str, str]],
+    route_checks: dict[str, clients.Request],
+    arrivals: typing.Sequence[tuple[float, str, str]],
     owners: dict[str, str],
     slack: float,
     order_s: float,
@@ -144,22 +155,22 @@
     found = []
     # For each proxy, the moments at which it is proven to go by a version or a later one.
     proven: dict[str, list[tuple[float, int]]] = {}
-    for at, name, endpoint in sorted(hits):
-        ask = roves.get(name)
-        if ask is None:
+    for at, name, endpoint in sorted(arrivals):
+        request = route_checks.get(name)
+        if request is None:
             continue
         service = owners.get(endpoint, "")
-        fits = [s for s in stood if s.may_show(at, at, slack) and s.service(ask) == service]
+        fits = [s for s in stood if s.may_show(at, at, slack) and s.service(request) == service]
         # A layout of unknown outcome proves nothing of versions.
         if not fits or any(s.version is None for s in fits):
             continue
-        steps = proven.setdefault(ask.address, [])
+        steps = proven.setdefault(request.address, [])
         # Two requests on their way at once may arrive in either order.
         n = bisect.bisect_left(steps, (at - order_s, 0))
         floor = steps[n - 1][1] if n else 0
         versions = sorted(s.version for s in fits if s.version is not None)
         if versions[-1] < floor:
-            text = f"{ask.address} went by {versions[-1]} at {at:.3f} after it had gone by {floor}"
+            text = f"{request.address} went by {versions[-1]} at {at:.3f} after it had gone by {floor}"
             found.append(f"{name}: {text}")
         top = steps[-1][1] if steps else 0
         least = next((v for v in versions if v >= top), top)
--- a/packages/simulator/src/dykeswitch/simulator/web.py
+++ b/packages/simulator/src/dykeswitch/simulator/web.py
@@ -16,16 +16,16 @@
 class SimWebServer:
     """A served application and what it has in hand."""
 
-    def __init__(self, wires: nets.Wires, address: str) -> None:
-        self._wires = wires
+    def __init__(self, links: nets.SimulatedLinks, address: str) -> None:
+        self._links = links
         self._address = address
         self.flights: dict[asyncio.Task[None], None] = {}
 
-    async def stop(self, grace: float) -> None:
-        """Stop serving, with `grace` seconds for the calls that are running."""
-        self._wires.apps.pop(self._address, None)
+    async def stop(self, grace_s: float) -> None:
+        """Stop serving, with `grace_s` seconds for the calls that are running."""
+        self._links.apps.pop(self._address, None)
         if self.flights:
-            await asyncio.wait(list(self.flights), timeout=grace)
+            await asyncio.wait(list(self.flights), timeout=grace_s)
         for task in list(self.flights):
             task.cancel()
 
@@ -33,54 +33,54 @@
 class SimWeb:
     """Web calls straight into the application, with the wire's delays and cuts."""
 
-    def __init__(self, wires: nets.Wires, host: loops.Host) -> None:
-        self._wires = wires
+    def __init__(self, links: nets.SimulatedLinks, host: loops.Host) -> None:
+        self._links = links
         self._host = host
 
     async def serve(
         self, address: str, app: ports.App, limits: ports.Limits = ports.default_limits
     ) -> ports.WebServer:
         """Serve an application at an address."""
-        server = SimWebServer(self._wires, address)
-        self._wires.apps[address] = (self._host, app, server.flights)
-        self._wires.homes[address] = self._host
+        server = SimWebServer(self._links, address)
+        self._links.apps[address] = (self._host, app, server.flights)
+        self._links.homes[address] = self._host
         return server
 
-    async def ask(
+    async def request(
         self,
         method: str,
         address: str,
         path: str,
-        heads: ports.Fields,
+        headers: ports.Fields,
         body: bytes,
-        wait: float,
-    ) -> ports.Reply:
+        timeout_s: float,
+    ) -> ports.Response:
         """Make one call and bring back the whole reply."""
-        async with asyncio.timeout(wait):
-            return await self._ask(method, address, path, heads, body)
+        async with asyncio.timeout(timeout_s):
+            return await self._request(method, address, path, headers, body)
 
     async def _way(self, one: str, two: str) -> None:
-        await asyncio.sleep(self._wires.delay(one, two))
-        while not self._wires.open(one, two):  # noqa: ASYNC110
+        await asyncio.sleep(self._links.delay(one, two))
+        while not self._links.open(one, two):  # noqa: ASYNC110
             await asyncio.sleep(CUT_POLL_S)
 
-    async def _ask(
-        self, method: str, address: str, path: str, heads: ports.Fields, body: bytes
-    ) -> ports.Reply:
-        wires, me = self._wires, self._host.name
-        home = wires.homes.get(address)
+    async def _request(
+        self, method: str, address: str, path: str, headers: ports.Fields, body: bytes
+    ) -> ports.Response:
+        links, me = self._links, self._host.name
+        home = links.homes.get(address)
         if home is None:
             raise ConnectionRefusedError(address)
-        wires.sent(me, home.name, len(body))
+        links.sent(me, home.name, len(body))
         await self._way(me, home.name)
-        found = wires.apps.get(address)
+        found = links.apps.get(address)
         if found is None or found[0].dead:
             raise ConnectionRefusedError(address)
         host, app, flights = found
-        call = _AppCall(method, path, ports.made(heads), body)
+        call = _AppCall(method, path, ports.resolve_fields(headers), body)
         context = contextvars.Context()
         context.run(loops.HOST.set, host)
-        task = wires.loop.create_task(call.run(app), context=context)
+        task = links.loop.create_task(call.run(app), context=context)
         flights[task] = None
         task.add_done_callback(lambda t: flights.pop(t, None), context=loops.EMPTY)
         try:
@@ -88,15 +88,15 @@
         except asyncio.CancelledError:
             self._tell_departure(call, task, host)
             raise
-        wires.sent(host.name, me, len(call.body))
+        links.sent(host.name, me, len(call.body))
         await self._way(host.name, me)
         if task.cancelled() or task.exception() is not None or not call.whole:
             raise ConnectionResetError("broken off")
-        return ports.Reply(call.status, call.heads, bytes(call.body))
+        return ports.Response(call.status, call.headers, bytes(call.body))
 
     def _tell_departure(self, call: "_AppCall", task: "asyncio.Task[None]", host: loops.Host) -> None:
         """The caller closed its connection: the application hears so once the way lets it through."""
-        wires, me = self._wires, self._host.name
+        links, me = self._links, self._host.name
 
         async def tell() -> None:
             await self._way(me, host.name)
@@ -105,17 +105,17 @@
 
         context = contextvars.Context()
         context.run(loops.HOST.set, host)
-        telling = wires.loop.create_task(tell(), context=context)
-        wires.departing[telling] = None
-        telling.add_done_callback(lambda t: wires.departing.pop(t, None), context=loops.EMPTY)
+        telling = links.loop.create_task(tell(), context=context)
+        links.departing[telling] = None
+        telling.add_done_callback(lambda t: links.departing.pop(t, None), context=loops.EMPTY)
 
 
 class _AppCall:
     """One call into an application."""
 
-    def __init__(self, method: str, path: str, heads: list[tuple[str, str]], body: bytes) -> None:
+    def __init__(self, method: str, path: str, headers: list[tuple[str, str]], body: bytes) -> None:
         self.status = 0
-        self.heads: list[tuple[str, str]] = []
+        self.headers: list[tuple[str, str]] = []
         self.body = bytearray()
         self.whole = False
         self.departure = departures.Departure()
@@ -123,8 +123,8 @@
         self._ask = body
         self._asked = False
         target, _, query = path.partition("?")
-        names = {k.lower() for k, _ in heads}
-        raw = [(k.lower().encode(), v.encode()) for k, v in heads]
+        names = {k.lower() for k, _ in headers}
+        raw = [(k.lower().encode(), v.encode()) for k, v in headers]
         if "host" not in names:
             raw.append((b"host", b"dykeswitch.test"))
         if body:
@@ -164,7 +164,7 @@
     async def _send(self, message: ports.Message) -> None:
         if message["type"] == "http.response.start":
             self.status = int(message["status"])
-            self.heads = [(k.decode(), v.decode("latin-1")) for k, v in message["headers"]]
+            self.headers = [(k.decode(), v.decode("latin-1")) for k, v in message["headers"]]
         elif message["type"] == "http.response.body":
             self.body += message.get("body", b"")
             self.whole = not message.get("more_body", False)
--- a/packages/simulator/src/dykeswitch/simulator/whatif.py
+++ b/packages/simulator/src/dykeswitch/simulator/whatif.py
@@ -12,13 +12,13 @@
 import dykeswitch.simulator.fleet as fleets
 import dykeswitch.simulator.loop as loops
 import dykeswitch.simulator.scenario as scenarios
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 import dykeswitch.standin.shape as shapes
 
 TARGETS: typing.Final = ("zone", "service", "endpoint", "proxy", "core")
 # What may happen to a target, and whether endpoints merely change their manners.
-MANNERS: typing.Final = {"slow": "slow", "fail": "status_502", "lose": "lose", "hang": "hang"}
-ACTS: typing.Final = ("down", "cut", *MANNERS)
+ENDPOINT_FAULTS: typing.Final = {"slow": "slow", "fail": "status_502", "lose": "lose", "hang": "hang"}
+ACTS: typing.Final = ("down", "cut", *ENDPOINT_FAULTS)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
         return f"'{target}' is not one of {', '.join(TARGETS)}"
     if act not in ACTS:
         return f"'{act}' is not one of {', '.join(ACTS)}"
-    if act in MANNERS and target in ("proxy", "core"):
+    if act in ENDPOINT_FAULTS and target in ("proxy", "core"):
         return f"only endpoints can '{act}', not a {target}"
     try:
         return Event(float(at), target, name, act, float(span))
@@ -88,18 +88,18 @@
     async def play(self, event: Event) -> None:
         await asyncio.sleep(event.at)
         names, nodes = self.endpoints(event), self.nodes(event)
-        if event.act in MANNERS:
+        if event.act in ENDPOINT_FAULTS:
             for name in names:
-                self._fleet.endpoints[name].plan.fault = MANNERS[event.act]
+                self._fleet.endpoints[name].plan.fault = ENDPOINT_FAULTS[event.act]
             await asyncio.sleep(event.span)
             for name in names:
                 self._fleet.endpoints[name].plan.fault = "none"
         elif event.act == "cut":
             inside = [n.name for n in nodes] + names
             every = [*self._fleet.world.nodes, *self._fleet.endpoints]
-            self._fleet.world.wires.cut(inside, [n for n in every if n not in inside])
+            self._fleet.world.links.cut(inside, [n for n in every if n not in inside])
             await asyncio.sleep(event.span)
-            self._fleet.world.wires.heal()
+            self._fleet.world.links.heal()
         else:
             for node in nodes:
                 node.lose_power()
@@ -121,12 +121,12 @@
     play = _Play(fleet)
     for event in variant.events:
         fleet.spawn(play.play(event))
-    await fleet.callers.drive(span, scale)
+    await fleet.clients.run_traffic(span, scale)
     why: collections.Counter[str] = collections.Counter()
     for line in fleet.world.events:
         if line["event"] == "mark" and "reason" in line:
             why[str(line["reason"])] += 1
-    return callers.tally(fleet.record, 10.0), why
+    return clients.summarize(fleet.record, 10.0), why
 
 
 def ask(
@@ -147,7 +147,7 @@
 def page(name: str, tallies: typing.Sequence[dict[str, typing.Any]]) -> dict[str, typing.Any]:
     """Tallies of several runs as one page."""
     asked = sum(t["asked"] for t in tallies)
-    texts = {str(c.number): c.text for c in outcome.TABLE.values()}
+    texts = {str(c.number): c.text for c in outcome.RESULT_CODES.values()}
     results: collections.Counter[str] = collections.Counter()
     for tally in tallies:
         for number, count in tally["results"].items():
--- a/packages/simulator/src/dykeswitch/simulator/whatreal.py
+++ b/packages/simulator/src/dykeswitch/simulator/whatreal.py
@@ -6,7 +6,7 @@
 
 import dykeswitch.simulator.scenario as scenarios
 import dykeswitch.simulator.whatif as whatif
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 import dykeswitch.standin.fleet as real
 import dykeswitch.standin.shape as shapes
 
@@ -50,9 +50,9 @@
         await asyncio.sleep(scenarios.SETTLED_S)
         for event in variant.events:
             fleet.spawn(_play(fleet, event))
-        await fleet.callers.drive(span, scale)
+        await fleet.clients.run_traffic(span, scale)
         fleet.gather()
-        return whatif.page("real processes", [callers.tally(fleet.record, 10.0)])
+        return whatif.page("real processes", [clients.summarize(fleet.record, 10.0)])
 
 
 def compare(simulated: dict[str, typing.Any], found: dict[str, typing.Any]) -> dict[str, typing.Any]:
--- a/packages/simulator/src/dykeswitch/simulator/world.py
+++ b/packages/simulator/src/dykeswitch/simulator/world.py
@@ -16,7 +16,7 @@
 WALL_START: typing.Final = 1_800_000_000.0
 
 
-class Killed(BaseException):
+class ProcessKilled(BaseException):
     """A fault point took the machine down; nothing may catch it."""
 
 
@@ -33,11 +33,11 @@
     def wall(self) -> float:
         return WALL_START + self._loop.time() + self.jump
 
-    async def sleep(self, span: float) -> None:
-        await asyncio.sleep(span)
+    async def sleep(self, duration_s: float) -> None:
+        await asyncio.sleep(duration_s)
 
 
-class SimPoints:
+class SimFaultPoints:
     """Numbered points; a test arms one of them with what is to happen there."""
 
     def __init__(self) -> None:
@@ -71,12 +71,12 @@
         self.name = name
         self.build = build
         self.clock = SimClock(world.loop)
-        self.points = SimPoints()
+        self.fault_points = SimFaultPoints()
         self.host = loops.Host(name)
         self.daemon: typing.Any = None
         self.task: asyncio.Task[None] | None = None
         self.disk: disks.SimDisk | None = None
-        self.flaw = ""
+        self.crash = ""
 
     @property
     def up(self) -> bool:
@@ -89,10 +89,10 @@
         host = self.host
         context = contextvars.Context()
         context.run(loops.HOST.set, host)
-        wires = self.world.wires
-        wires.off.discard(self.name)
+        links = self.world.links
+        links.off.discard(self.name)
         machine = ports.Machine(
-            self.clock, nets.SimNetwork(wires, host), webs.SimWeb(wires, host), self.points
+            self.clock, nets.SimNetwork(links, host), webs.SimWeb(links, host), self.fault_points
         )
         log = logs.Log(self.program, self.name, "info", self.clock)
         log.hook = self.world.log
@@ -105,10 +105,10 @@
             except BaseException as flaw:
                 # A program that dies by itself is a finding: the checker asks.
                 if not host.dead:
-                    self.flaw = f"{type(flaw).__name__}: {flaw}"
+                    self.crash = f"{type(flaw).__name__}: {flaw}"
                     host.dead = True
-                    wires.reset_host(self.name)
-                if isinstance(flaw, Killed | asyncio.CancelledError | KeyboardInterrupt):
+                    links.reset_host(self.name)
+                if isinstance(flaw, ProcessKilled | asyncio.CancelledError | KeyboardInterrupt):
                     return
                 if not isinstance(flaw, Exception):
                     raise
@@ -122,16 +122,16 @@
         self.host.dead = True
         self.host.frozen = False
         self.host.held.clear()
-        wires = self.world.wires
-        wires.reset_host(self.name)
-        wires.ears = {s: e for s, e in wires.ears.items() if e[0] is not self.host}
-        wires.apps = {s: a for s, a in wires.apps.items() if a[0] is not self.host}
+        links = self.world.links
+        links.reset_host(self.name)
+        links.listeners = {s: e for s, e in links.listeners.items() if e[0] is not self.host}
+        links.apps = {s: a for s, a in links.apps.items() if a[0] is not self.host}
         for task in list(self.host.tasks):
             task.cancel()
 
     def lose_power(self) -> None:
         """The machine goes dark: nobody is told, and unsynced writes are gone."""
-        self.world.wires.off.add(self.name)
+        self.world.links.off.add(self.name)
         self.kill()
         if self.disk is not None and not self.disk.dead:
             self.disk.lose_power()
@@ -140,9 +140,9 @@
         """Bring the machine back with what its disk still holds."""
         if not self.host.dead:
             self.kill()
-        self.world.wires.off.discard(self.name)
+        self.world.links.off.discard(self.name)
         # Whoever still holds a pipe to the old run is told so now.
-        self.world.wires.reset_host(self.name)
+        self.world.links.reset_host(self.name)
         if self.disk is not None:
             self.disk = self.disk.wake()
         self.start()
@@ -158,16 +158,16 @@
     def thaw(self) -> None:
         self.world.loop.thaw(self.host)
 
-    async def stop(self, grace: float) -> bool:
+    async def stop(self, grace_s: float) -> bool:
         """The polite signal, then the hard one after the grace; true if it was not needed."""
         assert self.task is not None
         self.daemon.stop()
-        done, _ = await asyncio.wait([self.task], timeout=grace)
+        done, _ = await asyncio.wait([self.task], timeout=grace_s)
         if not done:
             self.kill()
             return False
         self.host.dead = True
-        self.world.wires.reset_host(self.name)
+        self.world.links.reset_host(self.name)
         return True
 
 
@@ -180,7 +180,7 @@
         self.loop = loop
         self.seed = seed
         self.rng = random.Random(seed)
-        self.wires = nets.Wires(loop, random.Random(seed + 1))
+        self.links = nets.SimulatedLinks(loop, random.Random(seed + 1))
         self.nodes: dict[str, Node] = {}
         self.events: list[dict[str, typing.Any]] = []
         self._scratch = scratch
@@ -211,7 +211,7 @@
         host = loops.Host(name)
         return ports.Machine(
             SimClock(self.loop),
-            nets.SimNetwork(self.wires, host),
-            webs.SimWeb(self.wires, host),
-            SimPoints(),
+            nets.SimNetwork(self.links, host),
+            webs.SimWeb(self.links, host),
+            SimFaultPoints(),
         )
--- a/packages/simulator/src/dykeswitch/simulator/worth.py
+++ b/packages/simulator/src/dykeswitch/simulator/worth.py
@@ -15,14 +15,14 @@
 import dykeswitch.simulator.fleet as fleets
 import dykeswitch.simulator.loop as loops
 import dykeswitch.simulator.scenario as scenarios
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 import dykeswitch.standin.shape as shapes
 
 # Something done to a fleet that is up, before its traffic comes: another way to select, say.
 Way = typing.Callable[[fleets.SimFleet], None]
 Page = dict[str, typing.Any]
 # How callers come: one further try, and not evenly over the proxies.
-MANNERS: typing.Final = callers.Manners(tries=1, uneven=0.3)
+BEHAVIOR: typing.Final = clients.ClientBehavior(tries=1, uneven=0.3)
 # Traffic that is not counted: what is learnt from replies has to be learnt first.
 LEARNING_S: typing.Final = 4.0
 
@@ -33,7 +33,7 @@
     span: float = 20.0,
     way: Way | None = None,
     bounds: Page | None = None,
-    manners: callers.Manners = MANNERS,
+    behavior: clients.ClientBehavior = BEHAVIOR,
 ) -> Page:
     """The worth of one fleet over `span` seconds of its full rate on virtual time.
 
@@ -43,7 +43,7 @@
     `between_zones_bytes`: between proxies and endpoints, for each thing wanted.
     """
     with tempfile.TemporaryDirectory(prefix="dykeswitch-worth-") as scratch:
-        page: Page = loops.run(_one(shape, seed, span, way, bounds, manners, pathlib.Path(scratch)))
+        page: Page = loops.run(_one(shape, seed, span, way, bounds, behavior, pathlib.Path(scratch)))
         return page
 
 
@@ -53,7 +53,7 @@
     span: float,
     way: Way | None,
     bounds: Page | None,
-    manners: callers.Manners,
+    behavior: clients.ClientBehavior,
     scratch: pathlib.Path,
 ) -> Page:
     told = dict(bounds or {})
@@ -61,14 +61,14 @@
     await fleet.start()
     if way is not None:
         way(fleet)
-    fleet.callers.manners = manners
+    fleet.clients.behavior = behavior
     await asyncio.sleep(scenarios.SETTLED_S)
-    await fleet.callers.drive(LEARNING_S)
+    await fleet.clients.run_traffic(LEARNING_S)
     before = _counts(fleet)
-    fleet.record.wishes.clear()
-    hits = len(fleet.hits)
-    await fleet.callers.drive(span)
-    return _page(fleet, fleet.record.wishes, len(fleet.hits) - hits, before, _counts(fleet))
+    fleet.record.operations.clear()
+    arrivals = len(fleet.arrivals)
+    await fleet.clients.run_traffic(span)
+    return _page(fleet, fleet.record.operations, len(fleet.arrivals) - arrivals, before, _counts(fleet))
 
 
 def _counts(fleet: fleets.SimFleet) -> collections.Counter[str]:
@@ -76,8 +76,8 @@
     counts: collections.Counter[str] = collections.Counter()
     for endpoint in fleet.endpoints.values():
         counts.update(endpoint.counts)
-        counts["runs"] += endpoint.runs
-    for (one, two), size in fleet.world.wires.crossed.items():
+        counts["runs"] += endpoint.execution_count
+    for (one, two), size in fleet.world.links.crossed.items():
         if one in fleet.endpoints or two in fleet.endpoints:
             data = {one, two} & {e.node.name for e in fleet.edges}
             counts["between_zones" if data else "between_zones_beats_and_probes"] += size
@@ -87,29 +87,29 @@
 
 def _page(
     fleet: fleets.SimFleet,
-    wishes: typing.Sequence[callers.Wish],
-    hits: int,
+    operations: typing.Sequence[clients.Operation],
+    arrivals: int,
     before: collections.Counter[str],
     after: collections.Counter[str],
 ) -> Page:
-    many = max(1, len(wishes))
+    many = max(1, len(operations))
     counts = after - before
-    granted = [w for w in wishes if w.granted]
-    refused = [w for w in wishes if not w.granted and w.asks[-1].status in callers.PROMISES]
-    took = sorted(w.ended - w.begun for w in granted)
-    asks = sum(len(w.asks) for w in wishes)
-    by_service = {s.name: [w for w in wishes if w.service == s.name] for s in fleet.shape.services}
+    succeeded = [w for w in operations if w.succeeded]
+    refused = [w for w in operations if not w.succeeded and w.requests[-1].status in clients.PROMISES]
+    took = sorted(w.ended_at - w.started_at for w in succeeded)
+    requests = sum(len(w.requests) for w in operations)
+    by_service = {s.name: [w for w in operations if w.service == s.name] for s in fleet.shape.services}
     return {
-        "wanted": len(wishes),
-        "within_aim_share": _share(_within(fleet, wishes), many),
-        "replied_share": _share(len(granted), many),
+        "wanted": len(operations),
+        "within_aim_share": _share(_within(fleet, operations), many),
+        "replied_share": _share(len(succeeded), many),
         "refused_share": _share(len(refused), many),
-        "lost_share": _share(len(wishes) - len(granted) - len(refused), many),
+        "lost_share": _share(len(operations) - len(succeeded) - len(refused), many),
         "p50_ms": _ms(took, 0.5),
         "p99_ms": _ms(took, 0.99),
         "between_zones_bytes": round(counts["between_zones"] / many),
-        "further_tries": asks - len(wishes),
-        "extra_goes": hits - asks,
+        "further_tries": requests - len(operations),
+        "extra_goes": arrivals - requests,
         "turned_away_full": counts["full"],
         "turned_away_late": counts["late_in_queue"],
         "pipes": counts["pipes"],
@@ -122,9 +122,9 @@
     }
 
 
-def _within(fleet: fleets.SimFleet, wishes: typing.Iterable[callers.Wish]) -> int:
+def _within(fleet: fleets.SimFleet, operations: typing.Iterable[clients.Operation]) -> int:
     aims = {s.name: s.aim_s for s in fleet.shape.services}
-    return sum(1 for w in wishes if w.granted and w.ended - w.begun <= aims[w.service])
+    return sum(1 for w in operations if w.succeeded and w.ended_at - w.started_at <= aims[w.service])
 
 
 def _share(some: int, many: int) -> float:
--- a/packages/soundness/src/dykeswitch/soundness/connection.py
+++ b/packages/soundness/src/dykeswitch/soundness/connection.py
@@ -11,7 +11,7 @@
 import dykeswitch.ports as ports
 import dykeswitch.soundness as soundness
 
-Heads = list[tuple[bytes, bytes]]
+Headers = list[tuple[bytes, bytes]]
 
 READ_SIZE: typing.Final = 65536
 PROBE_MOST: typing.Final = 65536
@@ -20,7 +20,7 @@
 ENDED_BY: typing.Final = re.compile(rb"timeout\s*=\s*(\d{1,6})")
 
 
-class Flaw(Exception):
+class EndpointConnectionError(Exception):
     """A go that failed, with what it means for endpoint and caller."""
 
     def __init__(self, reason: str, sent: bool) -> None:
@@ -30,15 +30,15 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Head:
+class ResponseHead:
     """The head of an endpoint's reply."""
 
     status: int
-    heads: Heads
+    headers: Headers
 
     def get(self, name: bytes) -> bytes | None:
         """The first header field of a name in lower case, if there is one."""
-        return adapter.find(self.heads, name)
+        return adapter.find(self.headers, name)
 
 
 class EndpointConnection:
@@ -77,37 +77,37 @@
         self,
         method: str,
         target: bytes,
-        heads: Heads,
+        headers: Headers,
         body: bytes,
         gate: typing.Callable[[], bool] | None = None,
-    ) -> Head:
+    ) -> ResponseHead:
         """Send a request and bring back the reply's head."""
         before = self._wrote
-        name = adapter.find(heads, self._exchange) if self._exchange else None
+        name = adapter.find(headers, self._exchange) if self._exchange else None
         try:
-            data = self._request(method, target, heads, body)
+            data = self._request(method, target, headers, body)
             # Right before the first byte: may it still go?
             if gate is not None and not gate():
-                raise Flaw("no longer to be used", sent=False)
+                raise EndpointConnectionError("no longer to be used", sent=False)
             self._wrote += len(data)
             await self._connection.write(data)
-            return await self._head(name, method, target, heads)
-        except Flaw:
+            return await self._head(name, method, target, headers)
+        except EndpointConnectionError:
             self.close()
             raise
         except h11.ProtocolError as flaw:
             self.close()
-            raise Flaw(soundness.GARBAGE, self._wrote > before) from flaw
+            raise EndpointConnectionError(soundness.GARBAGE, self._wrote > before) from flaw
         except OSError as flaw:
             self.close()
-            raise Flaw(soundness.BROKE_OFF, self._wrote > before) from flaw
+            raise EndpointConnectionError(soundness.BROKE_OFF, self._wrote > before) from flaw
         except BaseException:
             # Timed out or cancelled: what comes on this pipe later belongs to nobody.
             self.close()
             raise
 
-    def _request(self, method: str, target: bytes, heads: Heads, body: bytes) -> bytes:
-        data = self._talk.send(h11.Request(method=method, target=target, headers=heads)) or b""
+    def _request(self, method: str, target: bytes, headers: Headers, body: bytes) -> bytes:
+        data = self._talk.send(h11.Request(method=method, target=target, headers=headers)) or b""
         if body:
             data += self._talk.send(h11.Data(data=body)) or b""
         return data + (self._talk.send(h11.EndOfMessage()) or b"")
@@ -120,36 +120,38 @@
                 return event
             data = await self._connection.read(READ_SIZE)
             if not data and self._talk.their_state is h11.SEND_RESPONSE:
-                raise Flaw(soundness.BROKE_OFF, True)
+                raise EndpointConnectionError(soundness.BROKE_OFF, True)
             try:
                 self._talk.receive_data(data)
                 if not data:
                     event = self._talk.next_event()
                     if event is not h11.NEED_DATA:
                         return event
-                    raise Flaw(soundness.BROKE_OFF, True)
+                    raise EndpointConnectionError(soundness.BROKE_OFF, True)
             except h11.RemoteProtocolError as flaw:
                 if not data:
-                    raise Flaw(soundness.BROKE_OFF, True) from flaw
+                    raise EndpointConnectionError(soundness.BROKE_OFF, True) from flaw
                 raise
 
-    async def _head(self, name: bytes | None, method: str, target: bytes, heads: Heads) -> Head:
+    async def _head(self, name: bytes | None, method: str, target: bytes, headers: Headers) -> ResponseHead:
         for _ in range(SURPLUS_MOST):
             event = await self._event()
             while isinstance(event, h11.InformationalResponse):
                 event = await self._event()
             if not isinstance(event, h11.Response):
-                raise Flaw(soundness.BROKE_OFF, True)
-            head = Head(event.status_code, [(bytes(k), bytes(v)) for k, v in event.headers.raw_items()])
+                raise EndpointConnectionError(soundness.BROKE_OFF, True)
+            head = ResponseHead(
+                event.status_code, [(bytes(k), bytes(v)) for k, v in event.headers.raw_items()]
+            )
             if self._answers(head, name):
                 self._learn(head)
                 return head
             # A second reply to an exchange of before: the id tells it from ours, which
             # is still to come.
-            await self._pass_over(method, target, heads)
-        raise Flaw(soundness.OTHERS_REPLY, True)
+            await self._pass_over(method, target, headers)
+        raise EndpointConnectionError(soundness.OTHERS_REPLY, True)
 
-    def _answers(self, head: Head, name: bytes | None) -> bool:
+    def _answers(self, head: ResponseHead, name: bytes | None) -> bool:
         """Whether a reply answers the exchange of a name, and not an earlier one; raises for neither."""
         named = head.get(self._exchange) if self._exchange else None
         if named is not None and named == name:
@@ -160,22 +162,22 @@
         # Where replies name their exchanges, one that names none is nobody's: a surplus one may
         # come in the place of ours.
         if name is not None and (named is not None or self._asked):
-            raise Flaw(soundness.OTHERS_REPLY, True)
+            raise EndpointConnectionError(soundness.OTHERS_REPLY, True)
         return True
 
-    async def _pass_over(self, method: str, target: bytes, heads: Heads) -> None:
+    async def _pass_over(self, method: str, target: bytes, headers: Headers) -> None:
         """Read to the end of a reply that is not ours, and look for ours behind it."""
         while not isinstance(event := await self._event(), h11.EndOfMessage):
             if not isinstance(event, h11.Data):
-                raise Flaw(soundness.BROKE_OFF, True)
+                raise EndpointConnectionError(soundness.BROKE_OFF, True)
         rest, over = self._talk.trailing_data
         self._talk = h11.Connection(h11.CLIENT)
         # As if just sent: the bytes themselves went out before.
-        self._request(method, target, [(k, v) for k, v in heads if k != b"content-length"], b"")
+        self._request(method, target, [(k, v) for k, v in headers if k != b"content-length"], b"")
         if rest or over:
             self._talk.receive_data(rest)
 
-    def _learn(self, head: Head) -> None:
+    def _learn(self, head: ResponseHead) -> None:
         told = ENDED_BY.search(head.get(b"keep-alive") or b"")
         if told is not None:
             self.idle_s = float(told.group(1))
@@ -198,7 +200,7 @@
                 elif isinstance(event, h11.EndOfMessage):
                     break
                 else:
-                    raise Flaw(soundness.BROKE_OFF, True)
+                    raise EndpointConnectionError(soundness.BROKE_OFF, True)
             # Only now is the pipe free for another exchange.
             if self._talk.our_state is h11.DONE and self._talk.their_state is h11.DONE:
                 self._talk.start_next_cycle()
@@ -206,25 +208,25 @@
                 self.close()
         except h11.ProtocolError as flaw:
             self.close()
-            raise Flaw(soundness.BROKE_OFF, True) from flaw
+            raise EndpointConnectionError(soundness.BROKE_OFF, True) from flaw
         except OSError as flaw:
             self.close()
-            raise Flaw(soundness.BROKE_OFF, True) from flaw
+            raise EndpointConnectionError(soundness.BROKE_OFF, True) from flaw
         except BaseException:
             self.close()
             raise
 
 
-async def prove(
+async def verify(
     connection: EndpointConnection, path: str, served_by: bytes = soundness.SERVED_BY
 ) -> str | None:
     """Probe on this very pipe; the reason it is not sound, or nothing."""
-    heads = [
+    headers = [
         (b"host", connection.address.encode()),
         (b"user-agent", b"dykeswitch-probe"),
         (b"accept", b"*/*"),
     ]
-    head = await connection.send("GET", path.encode(), heads, b"")
+    head = await connection.send("GET", path.encode(), headers, b"")
     size = 0
     async for part in connection.parts():
         size += len(part)
@@ -238,47 +240,52 @@
 
 
 async def open_connection(
-    net: ports.Network, clock: ports.Clock, endpoint: str, address: str, dial_s: float, exchange: bytes = b""
+    net: ports.Network,
+    clock: ports.Clock,
+    endpoint: str,
+    address: str,
+    connect_timeout_s: float,
+    exchange: bytes = b"",
 ) -> EndpointConnection:
     """A fresh pipe that has shown nothing yet but that somebody is there."""
     try:
-        raw = await net.dial(ports.address_of(address), dial_s)
+        raw = await net.connect(ports.address_of(address), connect_timeout_s)
     except ConnectionRefusedError as flaw:
-        raise Flaw(soundness.REFUSED, False) from flaw
+        raise EndpointConnectionError(soundness.REFUSED, False) from flaw
     except (OSError, TimeoutError, ports.AddressError) as flaw:
         # One that says no address is out of reach: that ends this attempt and nothing else.
-        raise Flaw(soundness.NO_ROAD, False) from flaw
+        raise EndpointConnectionError(soundness.NO_ROAD, False) from flaw
     return EndpointConnection(endpoint, address, raw, clock.now(), exchange)
 
 
-async def open_proven(
+async def open_verified(
     net: ports.Network,
     clock: ports.Clock,
     endpoint: str,
     address: str,
     path: str,
-    dial_s: float,
+    connect_timeout_s: float,
     probe_s: float,
-    names: adapter.Heads | None = None,
+    names: adapter.HeaderNames | None = None,
 ) -> EndpointConnection:
     """A fresh pipe that has shown it leads to the registered id."""
     served_by = names.served_by if names is not None else soundness.SERVED_BY
     connection = await open_connection(
-        net, clock, endpoint, address, dial_s, names.exchange if names is not None else b""
+        net, clock, endpoint, address, connect_timeout_s, names.exchange if names is not None else b""
     )
     try:
         async with asyncio.timeout(probe_s):
-            reason = await prove(connection, path, served_by)
+            reason = await verify(connection, path, served_by)
     except TimeoutError as flaw:
         connection.close()
-        raise Flaw(soundness.PROBE_TIMED_OUT, False) from flaw
-    except Flaw as flaw:
+        raise EndpointConnectionError(soundness.PROBE_TIMED_OUT, False) from flaw
+    except EndpointConnectionError as flaw:
         connection.close()
-        raise Flaw(f"{flaw.reason} on probe", False) from flaw
+        raise EndpointConnectionError(f"{flaw.reason} on probe", False) from flaw
     except BaseException:
         connection.close()
         raise
     if reason is not None or connection.closed:
         connection.close()
-        raise Flaw(reason or "broke off on probe", False)
+        raise EndpointConnectionError(reason or "broke off on probe", False)
     return connection
--- a/packages/standin/src/dykeswitch/standin/endpoint.py
+++ b/packages/standin/src/dykeswitch/standin/endpoint.py
@@ -11,7 +11,7 @@
 import dykeswitch.standin.faults as faults
 import dykeswitch.standin.headers as headers
 import dykeswitch.standin.heartbeat as heartbeat
-import dykeswitch.standin.nature as natures
+import dykeswitch.standin.nature as profiles
 import dykeswitch.standin.pages as pages
 import dykeswitch.standin.slots as slots
 import dykeswitch.standin.talk as talks
@@ -26,9 +26,9 @@
 REFUSALS: typing.Final = ("promise", "reset", "hang")
 HANG_S: typing.Final = 120.0
 
-Ran = typing.Callable[["Endpoint", str, str, bytes], None]
-Hit = typing.Callable[["Endpoint", str, str], None]
-Heads = list[tuple[str, str]]
+ExecutionCallback = typing.Callable[["Endpoint", str, str, bytes], None]
+ArrivalCallback = typing.Callable[["Endpoint", str, str], None]
+Headers = list[tuple[str, str]]
 
 
 class Endpoint(heartbeat.Announcer):
@@ -45,54 +45,54 @@
         rng: random.Random,
         work_s: float = 0.02,
         interval_s: float = 1.0,
-        ran: Ran | None = None,
-        hit: Hit | None = None,
-        nature: natures.Nature = natures.PLAIN,
-        began: Ran | None = None,
-        turned: Hit | None = None,
+        on_execution: ExecutionCallback | None = None,
+        on_arrival: ArrivalCallback | None = None,
+        profile: profiles.EndpointProfile = profiles.PLAIN,
+        on_start: ExecutionCallback | None = None,
+        on_misdirected: ArrivalCallback | None = None,
     ) -> None:
-        super().__init__(name, service, address, zone, machine, registries, rng, interval_s, nature)
+        super().__init__(name, service, address, zone, machine, registries, rng, interval_s, profile)
         self.work_s = work_s
         # Told when work is done, when a request arrives, when its work begins, and when it
         # was meant for another and is turned away.
-        self._ran = ran
-        self._hit = hit
-        self._began = began
-        self._turned = turned
+        self._on_execution = on_execution
+        self._on_arrival = on_arrival
+        self._on_start = on_start
+        self._on_misdirected = on_misdirected
         self.plan = faults.Plan()
         # What it did besides: by name, for who counts.
         self.counts: collections.Counter[str] = collections.Counter()
-        self.runs = 0
-        self.hits = 0
+        self.execution_count = 0
+        self.arrival_count = 0
         # For how many seconds it may work on the request that came last, if it was told.
-        self.handed_s: float | None = None
+        self.time_budget_s: float | None = None
         self._connections: dict[ports.Connection, None] = {}
         self._listener: ports.Listener | None = None
 
     @property
-    def nature(self) -> natures.Nature:
+    def profile(self) -> profiles.EndpointProfile:
         """What it is like: slots, pace, connections, heartbeats."""
-        return self._nature
+        return self._profile
 
-    @nature.setter
-    def nature(self, nature: natures.Nature) -> None:
+    @profile.setter
+    def profile(self, profile: profiles.EndpointProfile) -> None:
         """What it is like from now on; what is at work or waits stays."""
-        self._nature = nature
-        self.slots.resize(nature.slots, nature.queue)
+        self._profile = profile
+        self.slots.resize(profile.slots, profile.queue)
 
     @property
-    def busy(self) -> int:
+    def active_count(self) -> int:
         """How many requests are at work."""
         return self.slots.running
 
-    def rehost(self, machine: ports.Machine) -> None:
+    def move_to_machine(self, machine: ports.Machine) -> None:
         """Move to another machine before opening."""
         self._machine = machine
         self._clock = machine.clock
         self.beating = True
         self.draining = False
         # What an earlier life had in hand went with it.
-        self.slots = slots.Slots(self._nature.slots, self._nature.queue)
+        self.slots = slots.Slots(self._profile.slots, self._profile.queue)
         self._connections = {}
 
     async def open(self) -> None:
@@ -109,10 +109,10 @@
     # Pipes.
 
     async def _serve(self, connection: ports.Connection) -> None:
-        nature = self._nature
-        most = nature.pipes_most
-        if nature.pipes_pressed is not None and self.slots.waiting:
-            most = nature.pipes_pressed
+        profile = self._profile
+        most = profile.pipes_most
+        if profile.pipes_pressed is not None and self.slots.waiting:
+            most = profile.pipes_pressed
         self.counts["pipes"] += 1
         if most is not None and len(self._connections) >= most:
             self.counts["pipes_over"] += 1
@@ -122,10 +122,10 @@
         held[connection] = None
         talk = talks.Talk(connection, self._clock)
         try:
-            if nature.hello_s:
-                await self._hello(nature.hello_s)
+            if profile.hello_s:
+                await self._hello(profile.hello_s)
             while True:
-                asked = await talk.request(self._nature.idle_s, self._nature.forgets_s)
+                asked = await talk.request(self._profile.idle_s, self._profile.forgets_s)
                 if asked is None or not await self._reply_to(talk, *asked) or not talk.again():
                     return
         except talks.ForgottenError:
@@ -156,32 +156,32 @@
 
     # Requests.
 
-    async def _reply_to(self, talk: talks.Talk, ask: h11.Request, body: bytes) -> bool:
-        target = ask.target.decode("latin-1")
-        method = ask.method.decode()
+    async def _reply_to(self, talk: talks.Talk, request: h11.Request, body: bytes) -> bool:
+        target = request.target.decode("latin-1")
+        method = request.method.decode()
         probe = target.split("?")[0] == PROBE
-        heads = headers.fields(ask.headers)
-        if heads.get(headers.EXPECTED, self.name) != self.name:
+        fields = headers.fields(request.headers)
+        if fields.get(headers.EXPECTED, self.name) != self.name:
             # Meant for whoever was here before: not ours to run.
             self.counts["turned"] += 1
-            if self._turned is not None and not probe:
-                self._turned(self, method, target)
-            return await self._say(talk, 421, b"not me", [headers.NOT_RUN, *self._id()], ask)
+            if self._on_misdirected is not None and not probe:
+                self._on_misdirected(self, method, target)
+            return await self._say(talk, 421, b"not me", [headers.NOT_RUN, *self._id()], request)
         fault = self.plan.draw(self._rng, probe)
         if probe:
             self.counts["probes"] += 1
         else:
-            self.hits += 1
-            self.counts["unnamed"] += headers.EXPECTED not in heads
-            self.handed_s = headers.left_s(heads)
-            if self._hit is not None:
-                self._hit(self, method, target)
-        return await self._act(talk, ask, target, body, fault, probe)
+            self.arrival_count += 1
+            self.counts["unnamed"] += headers.EXPECTED not in fields
+            self.time_budget_s = headers.left_s(fields)
+            if self._on_arrival is not None:
+                self._on_arrival(self, method, target)
+        return await self._act(talk, request, target, body, fault, probe)
 
     async def _act(
         self,
         talk: talks.Talk,
-        ask: h11.Request,
+        request: h11.Request,
         target: str,
         body: bytes,
         fault: str,
@@ -189,14 +189,14 @@
     ) -> bool:
         """What becomes of one request or probe; whether the connection may carry more."""
         if fault in REFUSALS or fault.startswith("status_"):
-            return await self._refuse(talk, ask, fault)
+            return await self._refuse(talk, request, fault)
         if probe and self.draining:
-            return await self._say(talk, 503, b"leaving", None, ask)
+            return await self._say(talk, 503, b"leaving", None, request)
         # The very slots of this life: a later one has its own.
         held = self.slots
         if held.full:
-            return await self._turn_away(talk, ask)
-        left_s = headers.left_s(headers.fields(ask.headers))
+            return await self._turn_away(talk, request)
+        left_s = headers.left_s(headers.fields(request.headers))
         end = None if left_s is None else self._clock.now() + left_s
         ticket = held.ticket()
         try:
@@ -206,27 +206,27 @@
                 if came == "gone":
                     return False
                 promise = [headers.NOT_RUN, *self._id()]
-                return await self._say(talk, 503, b"too late", promise, ask)
-            worked = await self._work(talk, ask, target, body, fault, probe, end)
+                return await self._say(talk, 503, b"too late", promise, request)
+            worked = await self._work(talk, request, target, body, fault, probe, end)
         finally:
             held.drop(ticket)
         if worked != "done":
             self.counts[f"{worked}_at_work"] += 1
             if worked == "gone":
                 return False
-            return await self._say(talk, 504, b"out of time", None, ask)
-        return await self._answer(talk, ask, target, fault, probe)
+            return await self._say(talk, 504, b"out of time", None, request)
+        return await self._answer(talk, request, target, fault, probe)
 
-    async def _refuse(self, talk: talks.Talk, ask: h11.Request, fault: str) -> bool:
+    async def _refuse(self, talk: talks.Talk, request: h11.Request, fault: str) -> bool:
         """A fault for which a request is not even queued."""
         if fault == "promise":
-            return await self._say(talk, 503, b"no", [headers.NOT_RUN], ask)
+            return await self._say(talk, 503, b"no", [headers.NOT_RUN], request)
         if fault == "reset":
             return await self._end(talk, faults.End.RESET)
         if fault == "hang":
             await self._clock.sleep(HANG_S)
             return False
-        return await self._say(talk, int(fault.removeprefix("status_")), b"failed", [], ask)
+        return await self._say(talk, int(fault.removeprefix("status_")), b"failed", [], request)
 
     async def _queue(self, talk: talks.Talk, ticket: "asyncio.Future[None]", end: float | None) -> str:
         """Wait for a slot: "done", "late" where the expiry comes first, or "gone"."""
@@ -234,19 +234,19 @@
             return "done"
         return await talk.unless_gone(ticket, None if end is None else end - self._clock.now())
 
-    async def _turn_away(self, talk: talks.Talk, ask: h11.Request) -> bool:
+    async def _turn_away(self, talk: talks.Talk, request: h11.Request) -> bool:
         """Full: what it does with one that it can't even queue."""
         self.counts["full"] += 1
-        if self._nature.full == natures.RESET:
+        if self._profile.full == profiles.RESET:
             return await self._end(talk, faults.End.RESET)
-        if self._nature.full == natures.HANG:
+        if self._profile.full == profiles.HANG:
             return await self._end(talk, faults.End.HANG)
-        return await self._say(talk, 503, b"full", [headers.NOT_RUN, *self._id()], ask)
+        return await self._say(talk, 503, b"full", [headers.NOT_RUN, *self._id()], request)
 
     async def _work(
         self,
         talk: talks.Talk,
-        ask: h11.Request,
+        request: h11.Request,
         target: str,
         body: bytes,
         fault: str,
@@ -254,20 +254,20 @@
         end: float | None,
     ) -> str:
         """Work on a request or probe: "done", "late" where it stops at the expiry, or "gone"."""
-        nature = self._nature
+        profile = self._profile
         if probe:
-            if nature.probe_s:
-                await self._clock.sleep(nature.probe_s * nature.pace)
+            if profile.probe_s:
+                await self._clock.sleep(profile.probe_s * profile.pace)
             return "done"
-        if self._began is not None:
-            self._began(self, ask.method.decode(), target, body)
-        span = nature.span(self.work_s, self._rng) * (faults.SLOW if fault == "slow" else 1)
-        span *= nature.drag(self.slots.running, self._clock.now() - self._since)
+        if self._on_start is not None:
+            self._on_start(self, request.method.decode(), target, body)
+        span = profile.span(self.work_s, self._rng) * (faults.SLOW if fault == "slow" else 1)
+        span *= profile.drag(self.slots.running, self._clock.now() - self._since)
         span = pages.asked_work_s(target, span)
-        late = nature.stops and end is not None and end - self._clock.now() < span
+        late = profile.stops and end is not None and end - self._clock.now() < span
         if late and end is not None:
             span = max(0.0, end - self._clock.now())
-        if nature.drops:
+        if profile.drops:
             never: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             if await talk.unless_gone(never, span) == "gone":
                 return "gone"
@@ -276,15 +276,15 @@
         if late:
             return "late"
         # Here the work is done: what a stand-in's history calls a run.
-        self.runs += 1
-        if self._ran is not None:
-            self._ran(self, ask.method.decode(), target, body)
+        self.execution_count += 1
+        if self._on_execution is not None:
+            self._on_execution(self, request.method.decode(), target, body)
         return "done"
 
     async def _answer(
         self,
         talk: talks.Talk,
-        ask: h11.Request,
+        request: h11.Request,
         target: str,
         fault: str,
         probe: bool,
@@ -296,12 +296,12 @@
             # It did the work, and all the same bids the caller come again.
             status, _, long = fault.removeprefix("run_then_").partition("_")
             data = b"busy" * (faults.LONG_BODY // 4 if long else 1)
-            return await self._say(talk, int(status), data, [("retry-after", "1"), *self._id()], ask)
-        data = pages.body(self.name, self.service, target, headers.fields(ask.headers))
+            return await self._say(talk, int(status), data, [("retry-after", "1"), *self._id()], request)
+        data = pages.body(self.name, self.service, target, headers.fields(request.headers))
         by = [("dykeswitch-served-by", "somebody-else")] if fault == "wrong_id" else None
         if fault not in (*faults.BROKEN, *faults.SURPLUS):
-            return await self._say(talk, 200, data, by, ask)
-        said = faults.said(fault, self._whole(talk, 200, data, by, ask), self._rng)
+            return await self._say(talk, 200, data, by, request)
+        said = faults.said(fault, self._whole(talk, 200, data, by, request), self._rng)
         await talk.write(said.data)
         if said.pause_s:
             await self._clock.sleep(said.pause_s)
@@ -311,33 +311,33 @@
         talk.late = said.late
         return await self._end(talk, said.end)
 
-    def _id(self) -> Heads:
+    def _id(self) -> Headers:
         return [("dykeswitch-served-by", self.name)]
 
     def _whole(
-        self, talk: talks.Talk, status: int, data: bytes, extra: Heads | None, ask: h11.Request
+        self, talk: talks.Talk, status: int, data: bytes, extra: Headers | None, request: h11.Request
     ) -> bytes:
-        nature, asked = self._nature, headers.fields(ask.headers)
-        heads = [("content-length", str(len(data))), ("content-type", "application/json")]
-        heads += self._id() if extra is None else extra
-        heads.append((headers.SEAL, headers.seal(status, data)))
-        heads += [(name, asked[name]) for name in (headers.EXCHANGE, headers.ASK) if name in asked]
-        if nature.tells:
-            told = (self.slots.running, self.slots.waiting, nature.slots or 0)
-            heads.append((headers.LOAD, ",".join(map(str, told))))
-        if nature.idle_s is not None:
-            heads.append(("keep-alive", f"timeout={int(nature.idle_s)}"))
-        if self.draining or (nature.close_share and self._rng.random() < nature.close_share):
-            heads.append(("connection", "close"))
-        return talk.whole(status, heads, b"" if ask.method == b"HEAD" else data)
+        profile, asked = self._profile, headers.fields(request.headers)
+        fields = [("content-length", str(len(data))), ("content-type", "application/json")]
+        fields += self._id() if extra is None else extra
+        fields.append((headers.SEAL, headers.seal(status, data)))
+        fields += [(name, asked[name]) for name in (headers.EXCHANGE, headers.ASK) if name in asked]
+        if profile.tells:
+            told = (self.slots.running, self.slots.waiting, profile.slots or 0)
+            fields.append((headers.LOAD, ",".join(map(str, told))))
+        if profile.idle_s is not None:
+            fields.append(("keep-alive", f"timeout={int(profile.idle_s)}"))
+        if self.draining or (profile.close_share and self._rng.random() < profile.close_share):
+            fields.append(("connection", "close"))
+        return talk.whole(status, fields, b"" if request.method == b"HEAD" else data)
 
     async def _say(
         self,
         talk: talks.Talk,
         status: int,
         data: bytes,
-        extra: Heads | None,
-        ask: h11.Request,
+        extra: Headers | None,
+        request: h11.Request,
     ) -> bool:
-        await talk.write(self._whole(talk, status, data, extra, ask))
+        await talk.write(self._whole(talk, status, data, extra, request))
         return True
--- a/packages/standin/src/dykeswitch/standin/fleet.py
+++ b/packages/standin/src/dykeswitch/standin/fleet.py
@@ -18,7 +18,7 @@
 
 import dykeswitch.ports as ports
 import dykeswitch.ports.real as real
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 import dykeswitch.standin.port_block as port_block
 import dykeswitch.standin.relay as relays
 import dykeswitch.standin.shape as shapes
@@ -44,15 +44,17 @@
 class Fleet:
     """Processes, stand-in endpoints and stand-in callers of one shape."""
 
-    def __init__(self, shape: shapes.Shape, folder: pathlib.Path, seed: int, roving: bool = False) -> None:
+    def __init__(
+        self, shape: shapes.Shape, folder: pathlib.Path, seed: int, check_routes: bool = False
+    ) -> None:
         self.shape = shape
         # Whether requests are sent that each layout moves to another service.
-        self.slots = shapes.SLOTS if roving else ()
+        self.slots = shapes.SLOTS if check_routes else ()
         self.folder = folder
         self.rng = random.Random(seed)
         self.machine: ports.Machine = real.machine()
         self.machine = self.machine._replace(web=LightWeb(self.machine.net))
-        self.record = callers.Record(self.machine.clock)
+        self.record = clients.TrafficRecord(self.machine.clock)
         self.cores: list[tuple[Process, Process]] = []
         self.proxies: list[Process] = []
         self.hosts: list[Host] = []
@@ -63,7 +65,7 @@
         self.first_version = 0
         self._relayed_addresses: dict[str, tuple[str, str]] = {}
         self._build()
-        self.callers = callers.Callers(
+        self.clients = clients.Clients(
             shape, self.machine, [p.web for p in self.proxies], self.record, self.rng
         )
 
@@ -122,7 +124,7 @@
         if self.slots:
             self._relayed(proxy.flags)
             await self.relay.open(proxy.name, *self._relayed_addresses[proxy.name])
-        self.callers.add(proxy.web)
+        self.clients.add(proxy.web)
 
     def address(self) -> str:
         """One more free address."""
@@ -138,28 +140,28 @@
             "work_s": service.work_s,
             **more,
         }
-        if service.nature is not None:
-            spec["nature"] = dataclasses.asdict(service.nature.drawn(self.rng))
+        if service.profile is not None:
+            spec["nature"] = dataclasses.asdict(service.profile.drawn(self.rng))
         made = Host(name, spec, self.folder)
         self.hosts.append(made)
         return made
 
     def gather(self) -> tuple[list[tuple[float, str, str]], dict[str, float]]:
         """Bring the endpoints' own books into the record; hits and leavings."""
-        hits: list[tuple[float, str, str]] = []
+        arrivals: list[tuple[float, str, str]] = []
         left: dict[str, float] = {}
-        self.record.runs.clear()
+        self.record.executions.clear()
         for host in self.hosts:
             for kind, at, target in host.lines():
-                ask = callers.name_in(target)
+                request_id = clients.request_id_in(target)
                 if kind == "run":
-                    run = callers.Run(ask, host.name, host.spec["service"], at)
-                    self.record.runs[ask].append(run)
+                    execution = clients.Execution(request_id, host.name, host.spec["service"], at)
+                    self.record.executions[request_id].append(execution)
                 elif kind == "hit":
-                    hits.append((at, ask, host.name))
+                    arrivals.append((at, request_id, host.name))
                 else:
                     left[host.name] = at
-        return sorted(hits), left
+        return sorted(arrivals), left
 
     def spawn(self, work: typing.Coroutine[typing.Any, typing.Any, None]) -> None:
         """Run something beside the fleet, until it stops."""
@@ -178,11 +180,11 @@
             await self.relay.open(name, address, inner)
         for process in self.processes():
             process.start()
-        self.spawn(self.callers.watch())
+        self.spawn(self.clients.watch_readiness())
         first = self.shape.layout()
-        self.first = shapes.roving(first, 0) if self.slots else first
+        self.first = shapes.rotating_layout(first, 0) if self.slots else first
         self.first_version = await self.apply(self.first)
-        await self.until(lambda: len(self.callers.ready) == len(self.proxies), 60, "all proxies ready")
+        await self.until(lambda: len(self.clients.ready) == len(self.proxies), 60, "all proxies ready")
         await self._until_known(60)
         return self.machine.clock.now() - begun
 
@@ -202,7 +204,7 @@
 
     async def known(self) -> int:
         """How many endpoints a registry knows to be up."""
-        reply = await self.machine.web.ask("GET", self.cores[0][0].web, "/v1/endpoints", [], b"", 5)
+        reply = await self.machine.web.request("GET", self.cores[0][0].web, "/v1/endpoints", [], b"", 5)
         return sum(1 for e in json.loads(reply.body)["endpoints"] if e["state"] == "up")
 
     async def until(self, test: typing.Callable[[], bool], wait: float, what: str) -> float:
@@ -222,7 +224,7 @@
         while self.machine.clock.now() < end:
             for registry, _ in self.cores:
                 try:
-                    reply = await self.machine.web.ask("PUT", registry.web, "/v1/layout", [], data, 5)
+                    reply = await self.machine.web.request("PUT", registry.web, "/v1/layout", [], data, 5)
                 except (OSError, TimeoutError) as flaw:
                     last = str(flaw)
                     continue
@@ -237,7 +239,7 @@
 
         async def one(proxy: Process) -> int:
             try:
-                reply = await self.machine.web.ask("GET", proxy.web, "/readyz", [], b"", 1)
+                reply = await self.machine.web.request("GET", proxy.web, "/readyz", [], b"", 1)
                 return int(json.loads(reply.body)["layout"])
             except (OSError, TimeoutError):
                 return -1
@@ -266,13 +268,13 @@
     shape: shapes.Shape,
     seed: int,
     keep: bool = False,
-    roving: bool = False,
+    check_routes: bool = False,
     folder: pathlib.Path | None = None,
 ) -> typing.AsyncIterator[Fleet]:
     """A fleet that is up, and is taken down at the end whatever happens; a folder that is given is kept."""
     keep = keep or folder is not None
     folder = folder or pathlib.Path(tempfile.mkdtemp(prefix="dykeswitch-fleet-"))
-    fleet = Fleet(shape, folder, seed, roving)
+    fleet = Fleet(shape, folder, seed, check_routes)
     try:
         yield fleet
     finally:
@@ -288,11 +290,11 @@
         addresses: dict[str, list[str]] = {}
         for host in fleet.hosts:
             addresses.setdefault(str(host.spec["service"]), []).append(str(host.spec["spot"]))
-        straight = await callers.direct(fleet.shape, fleet.machine, addresses, fleet.rng, span / 2, scale)
-        base = callers.tally(straight, 10.0)
-        await fleet.callers.drive(span, scale)
+        straight = await clients.direct(fleet.shape, fleet.machine, addresses, fleet.rng, span / 2, scale)
+        base = clients.summarize(straight, 10.0)
+        await fleet.clients.run_traffic(span, scale)
         fleet.gather()
-        figures = callers.tally(fleet.record, 10.0)
+        figures = clients.summarize(fleet.record, 10.0)
         versions = await fleet.layout_versions()
         head = {"shape": name, "up_s": round(up, 2), "processes": len(fleet.processes())}
         ratio = {
--- a/packages/standin/src/dykeswitch/standin/headers.py
+++ b/packages/standin/src/dykeswitch/standin/headers.py
@@ -24,7 +24,7 @@
     return {key.decode(): value.decode("latin-1") for key, value in raw}
 
 
-def left_s(heads: typing.Mapping[str, str]) -> float | None:
+def left_s(headers: typing.Mapping[str, str]) -> float | None:
     """For how many seconds a request may be worked on, if it says so."""
-    left = heads.get(EXPIRY, "")
+    left = headers.get(EXPIRY, "")
     return int(left) / 1000 if left.isdigit() else None
--- a/packages/standin/src/dykeswitch/standin/heartbeat.py
+++ b/packages/standin/src/dykeswitch/standin/heartbeat.py
@@ -6,7 +6,7 @@
 import typing
 
 import dykeswitch.ports as ports
-import dykeswitch.standin.nature as natures
+import dykeswitch.standin.nature as profiles
 import dykeswitch.standin.slots as slots
 
 # How often leaving is said anew while no registry answers, and the pause between.
@@ -30,7 +30,7 @@
         registries: typing.Callable[[], typing.Sequence[str]],
         rng: random.Random,
         interval_s: float,
-        nature: natures.Nature,
+        profile: profiles.EndpointProfile,
     ) -> None:
         self.name = name
         self.service = service
@@ -41,25 +41,25 @@
         self._registries = registries
         self._rng = rng
         self.interval_s = interval_s
-        self._nature = nature
-        self.slots = slots.Slots(nature.slots, nature.queue)
+        self._profile = profile
+        self.slots = slots.Slots(profile.slots, profile.queue)
         self.beating = True
         self.draining = False
         self.refused = ""
         self._beats = 0
         # When it was opened.
         self._since = 0.0
-        self._late: set[asyncio.Task[ports.Reply | None]] = set()
+        self._late: set[asyncio.Task[ports.Response | None]] = set()
 
-    async def beat_for_ever(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Send heartbeats at the interval, until stopped."""
         turn = self._rng.randrange(1000)
         while self.beating:
             span = self.interval_s
-            nature = self._nature
-            if nature.late_share and self._rng.random() < nature.late_share:
+            profile = self._profile
+            if profile.late_share and self._rng.random() < profile.late_share:
                 # On its way for a while, during which later ones may overtake it.
-                page, wait = self.page(), self._rng.uniform(0.0, nature.late_s)
+                page, wait = self.page(), self._rng.uniform(0.0, profile.late_s)
                 task = asyncio.create_task(self._send_late(page, turn, wait))
                 self._late.add(task)
                 task.add_done_callback(self._late.discard)
@@ -72,9 +72,9 @@
     def page(self, leaving: bool = False) -> dict[str, typing.Any]:
         """One more beat, as it would be sent now."""
         self._beats += 1
-        nature = self._nature
+        profile = self._profile
         # Who has slots is as burdened as they are; else it is a guess.
-        many = nature.slots or USUAL_SLOTS
+        many = profile.slots or USUAL_SLOTS
         page: dict[str, typing.Any] = {
             "id": self.name,
             "service": self.service,
@@ -85,18 +85,18 @@
         }
         if leaving:
             page["leaving"] = True
-        if nature.tells_more:
-            left = max(0.0, self._since + nature.warm_s - self._clock.now())
+        if profile.tells_more:
+            left = max(0.0, self._since + profile.warm_s - self._clock.now())
             page |= {"count": self._beats, "warm_s": round(left, 3), "draining": self.draining}
-            if nature.slots is not None:
-                page["slots"] = nature.slots
+            if profile.slots is not None:
+                page["slots"] = profile.slots
         return page
 
-    async def send(self, page: dict[str, typing.Any], turn: int) -> ports.Reply | None:
+    async def send(self, page: dict[str, typing.Any], turn: int) -> ports.Response | None:
         """One beat to one registry; its answer, if there was any and the registry is at work."""
         addresses = self._registries()
         try:
-            reply = await self._machine.web.ask(
+            reply = await self._machine.web.request(
                 "POST",
                 addresses[turn % len(addresses)],
                 "/v1/beat",
@@ -110,11 +110,11 @@
             self.refused = json.loads(reply.body).get("why", "")
         return reply if reply.status < 500 else None
 
-    async def _send_late(self, page: dict[str, typing.Any], turn: int, wait: float) -> ports.Reply | None:
+    async def _send_late(self, page: dict[str, typing.Any], turn: int, wait: float) -> ports.Response | None:
         await self._clock.sleep(wait)
         return await self.send(page, turn)
 
-    async def beat(self, turn: int, leaving: bool = False) -> ports.Reply | None:
+    async def beat(self, turn: int, leaving: bool = False) -> ports.Response | None:
         """One beat to one registry."""
         return await self.send(self.page(leaving), turn)
 
--- a/packages/standin/src/dykeswitch/standin/host.py
+++ b/packages/standin/src/dykeswitch/standin/host.py
@@ -11,19 +11,19 @@
 
 import dykeswitch.ports.real as real
 import dykeswitch.standin.endpoint as endpoints
-import dykeswitch.standin.nature as natures
+import dykeswitch.standin.nature as profiles
 
 
 async def serve(spec: dict[str, typing.Any]) -> None:
     """Serve, beat, and leave politely on a signal; each run is a line in a file."""
     # Opened once, before anything is served: nobody waits for it.
-    with pathlib.Path(spec["runs"]).open("a", buffering=1) as book:  # noqa: ASYNC230
+    with pathlib.Path(spec["runs"]).open("a", buffering=1) as log:  # noqa: ASYNC230
 
-        def ran(endpoint: endpoints.Endpoint, method: str, target: str, body: bytes) -> None:
-            book.write(json.dumps(["run", time.monotonic(), target]) + "\n")
+        def on_execution(endpoint: endpoints.Endpoint, method: str, target: str, body: bytes) -> None:
+            log.write(json.dumps(["run", time.monotonic(), target]) + "\n")
 
-        def hit(endpoint: endpoints.Endpoint, method: str, target: str) -> None:
-            book.write(json.dumps(["hit", time.monotonic(), target]) + "\n")
+        def on_arrival(endpoint: endpoints.Endpoint, method: str, target: str) -> None:
+            log.write(json.dumps(["hit", time.monotonic(), target]) + "\n")
 
         endpoint = endpoints.Endpoint(
             spec["name"],
@@ -34,20 +34,20 @@
             lambda: spec["registries"],
             random.Random(spec["name"]),
             spec["work_s"],
-            ran=ran,
-            hit=hit,
-            nature=natures.Nature(**spec.get("nature", {})),
+            on_execution=on_execution,
+            on_arrival=on_arrival,
+            profile=profiles.EndpointProfile(**spec.get("nature", {})),
         )
         endpoint.plan.fault = spec.get("fault", "none")
         endpoint.plan.share = spec.get("share", 1.0)
         await endpoint.open()
         told = asyncio.Event()
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, told.set)
-        beats = asyncio.create_task(endpoint.beat_for_ever())
+        beats = asyncio.create_task(endpoint.send_heartbeats())
         await told.wait()
         beats.cancel()
         if await endpoint.leave():
-            book.write(json.dumps(["left", time.monotonic(), ""]) + "\n")
+            log.write(json.dumps(["left", time.monotonic(), ""]) + "\n")
         await asyncio.sleep(3.0)
         endpoint.close()
 
--- a/packages/standin/src/dykeswitch/standin/light_web.py
+++ b/packages/standin/src/dykeswitch/standin/light_web.py
@@ -20,25 +20,25 @@
         self.rest_most_s = math.inf
         self.oldest_first = False
 
-    async def ask(
+    async def request(
         self,
         method: str,
         address: str,
         path: str,
-        heads: ports.Fields,
+        headers: ports.Fields,
         body: bytes,
-        wait: float,
-    ) -> ports.Reply:
+        timeout_s: float,
+    ) -> ports.Response:
         """One call, over a kept connection where there is one."""
         try:
-            async with asyncio.timeout(wait):
-                return await self._ask(method, address, path, heads, body, wait)
-        except connections.Flaw as flaw:
+            async with asyncio.timeout(timeout_s):
+                return await self._request(method, address, path, headers, body, timeout_s)
+        except connections.EndpointConnectionError as flaw:
             raise OSError(flaw.reason) from flaw
 
-    async def _ask(
-        self, method: str, address: str, path: str, heads: ports.Fields, body: bytes, wait: float
-    ) -> ports.Reply:
+    async def _request(
+        self, method: str, address: str, path: str, headers: ports.Fields, body: bytes, timeout_s: float
+    ) -> ports.Response:
         idle = self._idle.setdefault(address, [])
         connection: connections.EndpointConnection | None = None
         now = asyncio.get_running_loop().time()
@@ -49,10 +49,10 @@
             else:
                 held.close()
         if connection is None:
-            raw_connection = await self._net.dial(ports.address_of(address), wait)
+            raw_connection = await self._net.connect(ports.address_of(address), timeout_s)
             connection = connections.EndpointConnection("", address, raw_connection, 0.0)
         try:
-            raw = [(k.encode(), v.encode()) for k, v in ports.made(heads)]
+            raw = [(k.encode(), v.encode()) for k, v in ports.resolve_fields(headers)]
         except TimeoutError:
             connection.close()
             raise
@@ -65,5 +65,5 @@
         if connection.usable():
             connection.used = asyncio.get_running_loop().time()
             idle.append(connection)
-        found = [(k.decode("latin-1").lower(), v.decode("latin-1")) for k, v in head.heads]
-        return ports.Reply(head.status, found, data)
+        found = [(k.decode("latin-1").lower(), v.decode("latin-1")) for k, v in head.headers]
+        return ports.Response(head.status, found, data)
--- a/packages/standin/src/dykeswitch/standin/nature.py
+++ b/packages/standin/src/dykeswitch/standin/nature.py
@@ -21,7 +21,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Nature:
+class EndpointProfile:
     """All times in seconds; factors multiply the work of the service."""
 
     # Requests at work at once (none: as many as come), how many more wait, what the rest get.
@@ -59,7 +59,7 @@
     # Whether beats tell `slots`, `count`, `warm_s` and `draining`.
     tells_more: bool = False
 
-    def drawn(self, rng: random.Random) -> "Nature":
+    def drawn(self, rng: random.Random) -> "EndpointProfile":
         """The same with a pace of its own, as the endpoints of one service have."""
         return dataclasses.replace(self, pace=self.pace * rng.uniform(*PACES))
 
@@ -80,4 +80,4 @@
         return drag
 
 
-PLAIN: typing.Final = Nature()
+PLAIN: typing.Final = EndpointProfile()
--- a/packages/standin/src/dykeswitch/standin/relay.py
+++ b/packages/standin/src/dykeswitch/standin/relay.py
@@ -67,8 +67,8 @@
     async def _bring(
         self, name: str, inner: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        head = await reader.readexactly(frames.HEAD.size)
-        data = await reader.readexactly(frames.HEAD.unpack(head)[2])
+        head = await reader.readexactly(frames.HEADER.size)
+        data = await reader.readexactly(frames.HEADER.unpack(head)[2])
         body = cbor2.loads(data)
         # A paper is asked for by its own name, and by the member's under another.
         caller = str(body.get("name_of") or body.get("name") or "")
--- a/packages/standin/src/dykeswitch/standin/replies.py
+++ b/packages/standin/src/dykeswitch/standin/replies.py
@@ -5,22 +5,22 @@
 
 import dykeswitch.ports as ports
 import dykeswitch.standin.headers as headers
-from dykeswitch.standin.record import Ask
+from dykeswitch.standin.record import Request
 
 # Answers that promise that a request has not run and never will; and such as no further try mends.
 PROMISES: typing.Final = (408, 421, 429, 503)
 FINAL: typing.Final = (400, 401, 404, 413, 431)
 
 
-def worth_another_try(ask: Ask) -> bool:
+def should_retry(request: Request) -> bool:
     """Whether a caller asks anew: a write only where it has a promise that the first did not run."""
-    if ask.left_at is not None:
+    if request.left_at is not None:
         return False
-    if ask.status in FINAL or (200 <= ask.status < 300 and not ask.wrong):
+    if request.status in FINAL or (200 <= request.status < 300 and not request.mismatch):
         return False
-    if not ask.writing:
+    if not request.writing:
         return True
-    return ask.status in PROMISES or ask.flaw.startswith("ConnectionRefused")
+    return request.status in PROMISES or request.error.startswith("ConnectionRefused")
 
 
 def seconds(text: str | None) -> float:
@@ -31,27 +31,27 @@
         return 0.0
 
 
-def foreign(reply: ports.Reply, name: str) -> str:
+def foreign(reply: ports.Response, name: str) -> str:
     """What shows that a reply belongs to another request; empty if nothing does."""
-    echo = reply.head(headers.ASK)
+    echo = reply.header(headers.ASK)
     if echo is not None and echo != name:
         return f"echoes {echo}"
     # Ours and the endpoint's: two that differ are of two exchanges.
-    exchanges = {text for key, text in reply.heads if key.lower() == headers.EXCHANGE}
+    exchanges = {text for key, text in reply.headers if key.lower() == headers.EXCHANGE}
     return f"of exchanges {sorted(exchanges)}" if len(exchanges) > 1 else ""
 
 
-def seal_flaw(reply: ports.Reply) -> str:
+def seal_error(reply: ports.Response) -> str:
     """What is wrong with a reply by its endpoint's seal, whatever its status."""
-    if reply.head("dykeswitch-result") is not None:
+    if reply.header("dykeswitch-result") is not None:
         return ""
-    told = reply.head(headers.SEAL)
+    told = reply.header(headers.SEAL)
     if told is None:
         return "without a seal" if 200 <= reply.status < 300 else ""
     return "" if told == headers.seal(reply.status, reply.body) else "not as it was sealed"
 
 
-def body_flaw(reply: ports.Reply, name: str, service: str) -> str:
+def body_error(reply: ports.Response, name: str, service: str) -> str:
     """What is wrong with an answer that looks good."""
     try:
         page = json.loads(reply.body)
@@ -64,6 +64,6 @@
     return ""
 
 
-def promised(reply: ports.Reply) -> bool:
+def promised(reply: ports.Response) -> bool:
     """Whether a reply bears an endpoint's promise that the request did not run."""
-    return headers.NOT_RUN in reply.heads
+    return headers.NOT_RUN in reply.headers
--- a/packages/standin/src/dykeswitch/standin/shape.py
+++ b/packages/standin/src/dykeswitch/standin/shape.py
@@ -3,7 +3,7 @@
 import dataclasses
 import typing
 
-import dykeswitch.standin.nature as natures
+import dykeswitch.standin.nature as profiles
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -17,7 +17,7 @@
     method: str
     work_s: float
     # What its endpoints are like, each with a pace of its own; none: plain ones.
-    nature: natures.Nature | None = None
+    profile: profiles.EndpointProfile | None = None
     # Within which time an answer is worth most, and a caller's expiry; none: the fleet's own.
     aim_s: float = 0.0
     expiry_s: float = 0.0
@@ -25,10 +25,10 @@
     @property
     def load(self) -> float:
         """The part of its slots that is at work in the mean; 0 where it has no bound."""
-        if self.nature is None or not self.nature.slots:
+        if self.profile is None or not self.profile.slots:
             return 0.0
-        pace = sum(natures.PACES) / 2
-        return self.rate * self.work_s * pace / (self.endpoints * self.nature.slots)
+        pace = sum(profiles.PACES) / 2
+        return self.rate * self.work_s * pace / (self.endpoints * self.profile.slots)
 
     @property
     def writing(self) -> bool:
@@ -50,7 +50,7 @@
     # For how long callers' connections may rest, where its layout says so.
     idle_s: float | None = None
 
-    def smaller(self, part: float) -> "Shape":
+    def scaled_down(self, part: float) -> "Shape":
         """A part of the fleet at the same load: fewer proxies, endpoints and requests."""
 
         def few(many: int, least: int) -> int:
@@ -65,7 +65,7 @@
         proxies = few(self.proxies, 1)
         return dataclasses.replace(self, proxies=proxies, services=tuple(services))
 
-    def slower(self, by: float) -> "Shape":
+    def slowed_down(self, by: float) -> "Shape":
         """The whole fleet at the same load with fewer requests, each of which takes longer."""
         services = tuple(
             dataclasses.replace(
@@ -105,7 +105,7 @@
 # Services that rules move requests between, so that who was reached tells the layout.
 SLOTS: typing.Final = tuple(ServiceShape(f"slot{n}", 1, 0, f"/slot{n}", "GET", 0.005) for n in range(5))
 # Requests of all the kinds that such rules tell apart: method, host, path.
-ROVES: typing.Final = (
+ROUTE_CHECKS: typing.Final = (
     ("GET", "", "/rove"),
     ("OPTIONS", "", "/rove"),
     ("GET", "rove.test", "/rove"),
@@ -113,7 +113,7 @@
 )
 
 
-def roving(doc: dict[str, typing.Any], turn: int) -> dict[str, typing.Any]:
+def rotating_layout(doc: dict[str, typing.Any], turn: int) -> dict[str, typing.Any]:
     """The same layout with rules that send some requests elsewhere with each turn."""
     services = {s.name: {"probe": "/healthz", "expiry_s": 10} for s in SLOTS[:4]}
     rules: list[dict[str, typing.Any]] = [{"path": "/rove", "service": SLOTS[turn % 4].name}]
@@ -165,7 +165,7 @@
 )
 # Endpoints as they are in earnest: two slots each and a short queue, unequal in speed,
 # work that spreads, slower when pressed and just after their start, telling their burden.
-EARNEST: typing.Final = natures.Nature(
+EARNEST: typing.Final = profiles.EndpointProfile(
     slots=2,
     queue=4,
     press=1.3,
--- a/packages/standin/src/dykeswitch/standin/talk.py
+++ b/packages/standin/src/dykeswitch/standin/talk.py
@@ -49,7 +49,7 @@
     ) -> tuple[h11.Request, bytes] | None:
         """The next request with its body; nothing once the caller left or was idle for too long."""
         since = self._clock.now()
-        ask: h11.Request | None = None
+        request: h11.Request | None = None
         body: list[bytes] = []
         quiet = True
         while True:
@@ -65,11 +65,11 @@
                 quiet = False
                 self._http.receive_data(part)
             elif isinstance(event, h11.Request):
-                ask = event
+                request = event
             elif isinstance(event, h11.Data):
                 body.append(bytes(event.data))
-            elif isinstance(event, h11.EndOfMessage) and ask is not None:
-                return ask, b"".join(body)
+            elif isinstance(event, h11.EndOfMessage) and request is not None:
+                return request, b"".join(body)
             else:
                 return None
 
@@ -96,9 +96,9 @@
             while part := await self.connection.read(READ_SIZE):
                 self._held += part
 
-    def whole(self, status: int, heads: list[tuple[str, str]], data: bytes) -> bytes:
+    def whole(self, status: int, headers: list[tuple[str, str]], data: bytes) -> bytes:
         """A whole reply as it goes over the wire; no data where the request was HEAD."""
-        out = self._http.send(h11.Response(status_code=status, headers=heads)) or b""
+        out = self._http.send(h11.Response(status_code=status, headers=headers)) or b""
         if data:
             out += self._http.send(h11.Data(data=data)) or b""
         return out + (self._http.send(h11.EndOfMessage()) or b"")
--- a/packages/store/src/dykeswitch/store/program.py
+++ b/packages/store/src/dykeswitch/store/program.py
@@ -17,18 +17,18 @@
 
     def __init__(
         self,
-        bounds: settings.Settings,
+        config: settings.Settings,
         machine: ports.Machine,
         disk: ports.Disk,
         log: logs.Log,
         rng: random.Random,
     ) -> None:
-        self.bounds = bounds
+        self.config = config
         self.machine = machine
         self.log = log
-        site = replicas.Site(bounds.zone, bounds.region, bounds.quorum_eligible)
-        self.voter = voters.Voter(disk, machine.points, rng, site)
-        self.meter = frames.Tally()
+        site = replicas.Site(config.zone, config.region, config.quorum_eligible)
+        self.voter = voters.Voter(disk, machine.fault_points, rng, site)
+        self.meter = frames.CallCounters()
         self._stop = asyncio.Event()
         self.stopping = False
 
@@ -36,9 +36,9 @@
         """Why this store is not ready, or nothing."""
         if self.stopping:
             return "stopping"
-        if self.voter.damaged:
-            return f"disk: {self.voter.damaged}"
-        if not self.voter.seated():
+        if self.voter.disk_fault:
+            return f"disk: {self.voter.disk_fault}"
+        if not self.voter.has_vote():
             return "not seated in a member set"
         return None
 
@@ -50,15 +50,15 @@
         """Vote until told to stop."""
         if not await self._open():
             return
-        ear = frames.Ear(self.voter.kinds(), self.log.note, self.meter)
-        listener = await self.machine.net.listen(self.bounds.store, ear.serve)
+        call_server = frames.CallServer(self.voter.kinds(), self.log.note, self.meter)
+        listener = await self.machine.net.listen(self.config.store, call_server.serve)
         server: ports.WebServer | None = None
         try:
-            if self.bounds.web:
+            if self.config.web:
                 more = {"disk": self.voter.disk_id}
-                app = pages.app("/readyz", self.ready, more, ("store", self.bounds.name, self.counts))
-                server = await self.machine.web.serve(self.bounds.web, app)
-            self.log.info("started", store=self.bounds.store, disk=self.voter.disk_id)
+                app = pages.app("/readyz", self.ready, more, ("store", self.config.name, self.counts))
+                server = await self.machine.web.serve(self.config.web, app)
+            self.log.info("started", store=self.config.store, disk=self.voter.disk_id)
             await self._stop.wait()
             self.stopping = True
             await self._hand_over()
@@ -84,7 +84,7 @@
                     return True
                 except OSError as flaw:
                     self.log.warning("disk does not open", why=str(flaw))
-                await self.machine.clock.sleep(self.bounds.gap_s)
+                await self.machine.clock.sleep(self.config.clock_gap_s)
             return False
         finally:
             stopped.cancel()
@@ -98,16 +98,16 @@
         self.voter.leaving = True
         clock = self.machine.clock
         begun = clock.now()
-        while not self.voter.vacant():
-            span = self.bounds.handover_most_s if self.voter.replaced() else self.bounds.handover_wait_s
-            if self.voter.damaged or clock.now() - begun >= span:
+        while not self.voter.is_vacant():
+            span = self.config.max_handover_s if self.voter.is_replaced() else self.config.handover_wait_s
+            if self.voter.disk_fault or clock.now() - begun >= span:
                 return
-            await clock.sleep(self.bounds.tick_s / 2)
+            await clock.sleep(self.config.tick_interval_s / 2)
 
     def stop(self) -> None:
         """Ask for an orderly stop."""
         self._stop.set()
 
-    def retold(self, bounds: settings.Settings) -> None:
+    def reload_settings(self, config: settings.Settings) -> None:
         """Take up changed settings, as far as a running program can: seeds; the rest at a start."""
         self.log.info("settings changed")
