--- a/packages/timeline/src/dykeswitch/timeline/__init__.py
+++ b/packages/timeline/src/dykeswitch/timeline/__init__.py
@@ -31,8 +31,8 @@
 LEFT: typing.Final = "left"
 DISPLACED: typing.Final = "displaced"
 # For which part of the longest life an entry that ended is kept in mind.
-LINGER: typing.Final = 1 / 30
-STICKY: typing.Final = (LEFT, DISPLACED)
+LINGER_SHARE: typing.Final = 1 / 30
+FINAL_STATES: typing.Final = (LEFT, DISPLACED)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
     expiry: float
     seq: int = 0
 
-    def wire(self, now: float) -> Wire:
+    def to_wire(self, now: float) -> Wire:
         return [self.kind, self.key, self.stamp[0], self.stamp[1], self.fields, max(0.0, self.expiry - now)]
 
 
@@ -55,7 +55,7 @@
     if entry.kind == ENDPOINT:
         # Having left outranks any beat, however late the beat was written; and what is only
         # remembered gives way to whatever was heard.
-        return (entry.fields["state"] in STICKY, "remembered" not in entry.fields, entry.stamp)
+        return (entry.fields["state"] in FINAL_STATES, "remembered" not in entry.fields, entry.stamp)
     if entry.kind == FENCE:
         return (int(entry.fields["fence"]), entry.stamp)
     if entry.kind == DOCUMENT:
@@ -81,10 +81,10 @@
         self._at: dict[str, set[str]] = {}
         self._count = 0
         self.seq = 0
-        self.urgent = 0
+        self.last_urgent_seq = 0
         # The newest urgent entry that is no mark: what must reach every proxy by two ways.
-        self.urgent_besides_marks = 0
-        self.news = asyncio.Condition()
+        self.last_urgent_seq_except_marks = 0
+        self.changed = asyncio.Condition()
         self._tells: set[asyncio.Task[None]] = set()
         self._wakers: list[typing.Callable[[Entry], None]] = []
 
@@ -104,7 +104,7 @@
         now = self._clock.now()
         return [entry for entry in self._by_kind[kind].values() if entry.expiry > now]
 
-    def held(self, kind: str) -> int:
+    def count(self, kind: str) -> int:
         """How many entries of a kind are kept, those that ended lately among them."""
         return len(self._by_kind[kind])
 
@@ -167,9 +167,9 @@
         self._book[(entry.kind, entry.key)] = entry
         self._book.move_to_end((entry.kind, entry.key))
         if urgent:
-            self.urgent = self.seq
+            self.last_urgent_seq = self.seq
             if entry.kind != MARK:
-                self.urgent_besides_marks = self.seq
+                self.last_urgent_seq_except_marks = self.seq
             self._wake()
         for call in self._wakers:
             call(entry)
@@ -183,7 +183,7 @@
             other = self._by_kind[ENDPOINT][key]
             if key == fresh.key:
                 continue
-            if other.fields["state"] in STICKY or other.expiry <= self._clock.now():
+            if other.fields["state"] in FINAL_STATES or other.expiry <= self._clock.now():
                 continue
             newer = tuple(fresh.fields["born"]) > tuple(other.fields["born"])
             loser = other if newer else fresh
@@ -206,8 +206,8 @@
 
     def _wake(self) -> None:
         async def tell() -> None:
-            async with self.news:
-                self.news.notify_all()
+            async with self.changed:
+                self.changed.notify_all()
 
         # The loop holds tasks only weakly: one that is let go of may never run.
         task = asyncio.get_running_loop().create_task(tell())
@@ -226,22 +226,24 @@
         fresh.reverse()
         return fresh
 
-    def wire_since(self, seq: int, own: bool = False, but: typing.Container[str] = ()) -> list[Wire]:
+    def entries_since(
+        self, seq: int, own_only: bool = False, excluding: typing.Container[str] = ()
+    ) -> list[Wire]:
         """What was taken up after a point, for the wire.
 
-        `own` leaves out what others wrote, `but` names kinds that are left out.
+        `own_only` leaves out what others wrote, `excluding` names kinds that are left out.
         """
         now = self._clock.now()
         return [
-            entry.wire(now)
+            entry.to_wire(now)
             for entry in self.since(seq)
-            if (not own or entry.stamp[1] == self.name) and entry.kind not in but
+            if (not own_only or entry.stamp[1] == self.name) and entry.kind not in excluding
         ]
 
-    def tidy(self) -> None:
+    def remove_expired(self) -> None:
         """Drop entries that ended so long ago that no copy of them can be on its way."""
         now = self._clock.now()
-        linger = self.forget_s * LINGER
+        linger = self.forget_s * LINGER_SHARE
         for address, entry in list(self._book.items()):
             if entry.expiry + linger <= now:
                 del self._book[address]
@@ -275,16 +277,16 @@
         self._clock = timeline.clock
         self._mark_s = mark_s
 
-    def down(self, endpoint: str) -> Entry | None:
+    def mark_of(self, endpoint: str) -> Entry | None:
         """The mark that stands against an endpoint, if one does."""
         entry = self._timeline.get(MARK, down_key(endpoint))
         if entry is None or entry.fields.get("clear"):
             return None
         return entry
 
-    def set(self, endpoint: str, reason: str, by: str, duty: Fields | None = None) -> Entry | None:
+    def set_down(self, endpoint: str, reason: str, by: str, duty: Fields | None = None) -> Entry | None:
         """Mark an endpoint down for a mark's life."""
-        standing = self.down(endpoint)
+        standing = self.mark_of(endpoint)
         # A mark in its first half says all there is to say: each failure of a service
         # that is down would else be news to the whole fleet.
         if standing is not None and standing.expiry - self._clock.now() > self._mark_s / 2:
--- a/packages/timeline/src/dykeswitch/timeline/slots.py
+++ b/packages/timeline/src/dykeswitch/timeline/slots.py
@@ -6,7 +6,7 @@
 
 import typing
 
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 PROBE: typing.Final = 16
 BUCKETS: typing.Final = 8
@@ -15,12 +15,12 @@
 
 def probe_slot(endpoint: str) -> int:
     """The slot of the probe duty that an endpoint's key falls into."""
-    return timeline.slot_of(endpoint, PROBE)
+    return timelines.slot_of(endpoint, PROBE)
 
 
 def lend_slot(service: str, part: int) -> int:
     """The slot of the lender of one part of a service's floor."""
-    return bucket_slots(timeline.slot_of(service, BUCKETS))[part]
+    return bucket_slots(timelines.slot_of(service, BUCKETS))[part]
 
 
 def bucket_slots(bucket: int) -> list[int]:
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -16,7 +16,7 @@
 import dykeswitch.settings as settings
 import dykeswitch.simulator.loop as loops
 import dykeswitch.soundness.connection as connections
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 ID: typing.Final = b"dykeswitch-exchange"
 LAYOUT: typing.Final[dict[str, typing.Any]] = {
@@ -41,9 +41,9 @@
         """The same seconds: there is no other clock."""
         return self.now()
 
-    async def sleep(self, span: float) -> None:
+    async def sleep(self, duration_s: float) -> None:
         """Wait for so many seconds of the loop."""
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration_s)
 
 
 class ScriptedConnection:
@@ -68,7 +68,7 @@
         answer = self._endpoint.script.pop(0) if self._endpoint.script else [WHOLE]
         self._coming += [part.replace("{id}", name) for part in answer]
 
-    async def read(self, most: int) -> bytes:
+    async def read(self, max_bytes: int) -> bytes:
         """The next part of the answer, after the time that it takes."""
         await asyncio.sleep(self._endpoint.work_s)
         if not self._coming:
@@ -114,12 +114,12 @@
     def __init__(self, endpoints: dict[str, ScriptedEndpoint]) -> None:
         self._endpoints = endpoints
 
-    async def dial(self, address: str, wait: float) -> ports.Connection:
+    async def connect(self, address: str, timeout_s: float) -> ports.Connection:
         """Connect to an endpoint; raises `TimeoutError` where it is unreachable."""
         endpoint = self._endpoints[address]
         endpoint.dialed += 1
         if endpoint.unreachable:
-            await asyncio.sleep(wait)
+            await asyncio.sleep(timeout_s)
             raise TimeoutError
         await asyncio.sleep(endpoint.dial_s)
         return ScriptedConnection(endpoint)
@@ -132,19 +132,19 @@
 class Calm:
     """A proxy that is sure of what it holds and has extra go's to spend."""
 
-    async def sure(self, by: float) -> bool:
+    async def confirm_fresh(self, by: float) -> bool:
         """It is sure at once."""
         return True
 
-    def gapped(self) -> bool:
+    def clock_jumped(self) -> bool:
         """It was never frozen."""
         return False
 
-    def silent(self) -> float:
+    def silence_s(self) -> float:
         """It hears others all the time."""
         return 0.0
 
-    def sharing(self) -> float | None:
+    def borrowing_since(self) -> float | None:
         """It shares the budget with nobody."""
         return 0.0
 
@@ -155,7 +155,7 @@
 
     status: int = 0
     body: bytes = b""
-    heads: connections.Heads = dataclasses.field(default_factory=list)
+    headers: connections.Headers = dataclasses.field(default_factory=list)
 
 
 class Stage:
@@ -163,18 +163,18 @@
 
     def __init__(self, *endpoints: ScriptedEndpoint) -> None:
         clock = LoopClock()
-        line = timeline.Timeline("p", clock, 900.0)
+        timeline = timelines.Timeline("p", clock, 900.0)
         addresses = {f"10.0.0.{n + 1}:1": endpoint for n, endpoint in enumerate(endpoints)}
-        bounds = settings.Settings(name="p", zone="z", proof="header")
+        config = settings.Settings(name="p", zone="z", proof="header")
         network = typing.cast(ports.Network, ScriptedNetwork(addresses))
-        machine = ports.Machine(clock, network, real.RealWeb(), ports.NoPoints())
-        marks = timeline.Marks(line, bounds.mark_s)
+        machine = ports.Machine(clock, network, real.RealWeb(), ports.NoFaultPoints())
+        marks = timelines.Marks(timeline, config.mark_s)
         log = logs.Log("proxy", "p", "error", clock)
-        self.carrier = carriers.Carrier(bounds, machine, line, marks, log, random.Random(1), Calm())
+        self.carrier = carriers.Carrier(config, machine, timeline, marks, log, random.Random(1), Calm())
         for n, address in enumerate(addresses):
-            fields: timeline.Fields = {"service": "s", "address": address, "zone": "z"}
-            fields.update(state=timeline.UP, born=[n, "r"], slots=2, load=0.0)
-            line.write(timeline.ENDPOINT, f"e{n}", fields, 900.0, urgent=False)
+            fields: timelines.Fields = {"service": "s", "address": address, "zone": "z"}
+            fields.update(state=timelines.UP, born=[n, "r"], slots=2, load=0.0)
+            timeline.write(timelines.ENDPOINT, f"e{n}", fields, 900.0, urgent=False)
         self.apply(LAYOUT)
         self._clock = clock
         self._turn = 0
@@ -182,7 +182,7 @@
     def apply(self, doc: typing.Any) -> None:
         """Put a layout in force."""
         checked = layouts.check(doc)
-        assert isinstance(checked, outcome.Good)
+        assert isinstance(checked, outcome.Success)
         self.carrier.layout = checked.value
 
     def apply_in(self, span_s: float, doc: typing.Any) -> None:
@@ -195,7 +195,7 @@
 
         async def send(message: typing.Any) -> None:
             answer.status = message.get("status", answer.status)
-            answer.heads += list(message.get("headers", ()))
+            answer.headers += list(message.get("headers", ()))
             answer.body += message.get("body", b"")
 
         self._turn += 1
@@ -205,10 +205,10 @@
             host="a.test",
             path="/thing",
             target=b"/thing",
-            heads=[(b"host", b"a.test")],
+            headers=[(b"host", b"a.test")],
             body=b"",
-            born=self._clock.now(),
-            asked_s=None,
+            started_at=self._clock.now(),
+            requested_timeout_s=None,
             send=send,
         )
         # Coins of the shared budget, as registries would have lent them.
--- a/tests/test_between_attempts.py
+++ b/tests/test_between_attempts.py
@@ -68,9 +68,9 @@
         stage.apply_in(AMID_THE_FIRST_S, layout)
         answer = await stage.ask()
         assert answer.status == (504 if scripted.SILENT in script else 502)
-        assert any(key == b"dykeswitch-result" for key, _ in answer.heads)
+        assert any(key == b"dykeswitch-result" for key, _ in answer.headers)
         # It may be running still: nobody is to be told when to come again.
-        assert not any(key == b"retry-after" for key, _ in answer.heads)
+        assert not any(key == b"retry-after" for key, _ in answer.headers)
         assert _sent(endpoints) == 1
         assert stage.carrier.counts["rules_gone_between_attempts"] == 1
 
@@ -193,7 +193,7 @@
         assert _sent(endpoints) == 1
         # Nothing that a caller could take for "it did not run: send it again".
         assert answer.status in (500, 502)
-        assert not any(key == b"retry-after" for key, _ in answer.heads)
+        assert not any(key == b"retry-after" for key, _ in answer.headers)
 
     scripted.play(work)
 
@@ -208,7 +208,7 @@
         stage.apply_in(0.07, WRITES_NOW)
         answer = await stage.ask()
         assert (answer.status, _sent(endpoints)) == (502, 2)
-        assert not any(key == b"retry-after" for key, _ in answer.heads)
+        assert not any(key == b"retry-after" for key, _ in answer.headers)
 
     scripted.play(work)
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -92,23 +92,23 @@
 def test_a_setting_is_understood_by_its_earlier_name(name: str, tmp_path: pathlib.Path) -> None:
     raw = {"name": "p", "zone": "z", "member": "127.0.0.1:1", "web": "127.0.0.1:2", "seeds": ["127.0.0.1:3"]}
     checked = settings.check("proxy", {**raw, name: "127.0.0.1:4"})
-    assert isinstance(checked, outcome.Good) and checked.value.listen == "127.0.0.1:4"
+    assert isinstance(checked, outcome.Success) and checked.value.listen == "127.0.0.1:4"
     flags = argparse.ArgumentParser()
     settings.add_flags(flags)
     path = _file(tmp_path, f'{name} = "127.0.0.1:4"\n', "file.toml")
     words = ["--name=p", "--zone=z", "--member=127.0.0.1:1", "--web=127.0.0.1:2", "--seeds=127.0.0.1:3"]
     found = settings.gather("proxy", flags.parse_args([*words, "--settings", path]))
-    assert isinstance(found, outcome.Good) and found.value.listen == "127.0.0.1:4"
+    assert isinstance(found, outcome.Success) and found.value.listen == "127.0.0.1:4"
     # A flag wins over the file, under whichever of the two names.
     for flag in ("--listen", "--ear"):
         found = settings.gather("proxy", flags.parse_args([*words, "--settings", path, flag, "127.0.0.1:5"]))
-        assert isinstance(found, outcome.Good) and found.value.listen == "127.0.0.1:5"
+        assert isinstance(found, outcome.Success) and found.value.listen == "127.0.0.1:5"
 
 
 def test_a_setting_under_both_of_its_names_is_a_fault() -> None:
     both = {"name": "s", "store": "127.0.0.1:1", "data": "/", "ear": "127.0.0.1:4", "listen": "127.0.0.1:4"}
     checked = settings.check("store", both)
-    assert isinstance(checked, outcome.Bad)
+    assert isinstance(checked, outcome.Failure)
     assert checked.faults == ("ear: the earlier name of listen, which is given too",)
 
 
@@ -138,13 +138,13 @@
       backendRefs: [{name: pages}]
 """
     result = objects.read(text.encode())
-    assert isinstance(result, outcome.Good), result
+    assert isinstance(result, outcome.Success), result
     rule = result.value.match("shop.example", "/a/b", "POST")
     assert rule is not None
     assert (rule.service, rule.writing) == ("pages", True)
     assert result.value.match("other.example", "/a", "POST") is None
     wrong = objects.read(text.replace("PathPrefix", "Exact").replace("kind: Service", "kind: Pod").encode())
-    assert isinstance(wrong, outcome.Bad)
+    assert isinstance(wrong, outcome.Failure)
     assert [fault.split(":")[0] for fault in wrong.faults] == [
         "documents[0].kind",
         "documents[1].spec.rules[0].matches[0].path.type",
@@ -153,7 +153,7 @@
 
 def test_the_docs_list_every_result_code_and_setting() -> None:
     codes = (ROOT / "docs/result-codes.md").read_text()
-    for code in outcome.TABLE.values():
+    for code in outcome.RESULT_CODES.values():
         assert re.search(rf"\| {code.number} \| `{code.tag}` \| {code.status} \|", codes), code
     text = (ROOT / "docs/settings.md").read_text()
     for field in dataclasses.fields(settings.Settings):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -16,7 +16,7 @@
 import dykeswitch.simulator.loop as loops
 import dykeswitch.simulator.machines as machines
 import dykeswitch.standin.shape as shapes
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 SERVICE: typing.Final = shapes.ServiceShape("pages", 6, 20, "/pages", "GET", 0.05)
 ZONES: typing.Final = ("z1", "z2", "z3", "z4")
@@ -64,8 +64,8 @@
 
 
 def _mark(proxy: proxies.Proxy, endpoint: str) -> None:
-    fields: timeline.Fields = {"reason": "timed out", "by": proxy.bounds.name, "clear": False}
-    proxy.line.write(timeline.MARK, timeline.down_key(endpoint), fields, proxy.bounds.mark_s)
+    fields: timelines.Fields = {"reason": "timed out", "by": proxy.config.name, "clear": False}
+    proxy.timeline.write(timelines.MARK, timelines.down_key(endpoint), fields, proxy.config.mark_s)
 
 
 def _all_hold_layout(fleet: fleets.SimFleet, version: int) -> bool:
@@ -73,8 +73,8 @@
 
 
 def _all_know_left(fleet: fleets.SimFleet, name: str) -> bool:
-    entries = [proxy.line.get(timeline.ENDPOINT, name) for proxy in _proxies(fleet)]
-    return all(entry is not None and entry.fields["state"] == timeline.LEFT for entry in entries)
+    entries = [proxy.timeline.get(timelines.ENDPOINT, name) for proxy in _proxies(fleet)]
+    return all(entry is not None and entry.fields["state"] == timelines.LEFT for entry in entries)
 
 
 def _layout(fleet: fleets.SimFleet, turn: int) -> dict[str, typing.Any]:
@@ -85,7 +85,7 @@
 
 async def _leave_at(fleet: fleets.SimFleet, core: machines.Core, name: str) -> bool:
     """An endpoint tells one core that it leaves; whether that was acknowledged."""
-    result = await core.registry.daemon.beat({"id": name, "leaving": True})
+    result = await core.registry.daemon.heartbeat({"id": name, "leaving": True})
     return not hasattr(result, "code")
 
 
@@ -93,9 +93,9 @@
     async def work(fleet: fleets.SimFleet) -> None:
         zone_of = {core.member: core.zone for core in fleet.cores}
         for proxy in _proxies(fleet):
-            polled = proxy.spread.polled()
+            polled = proxy.gossip.polled()
             assert len(polled) == 3
-            assert zone_of[polled[0]] == proxy.bounds.zone
+            assert zone_of[polled[0]] == proxy.config.zone
 
     _run(tmp_path, work)
 
@@ -137,7 +137,7 @@
     async def work(fleet: fleets.SimFleet) -> None:
         _mark(_proxies(fleet)[0], "pages-0")
         await asyncio.sleep(0.3)
-        assert all(proxy.marks.down("pages-0") is not None for proxy in _proxies(fleet))
+        assert all(proxy.marks.mark_of("pages-0") is not None for proxy in _proxies(fleet))
 
     _run(tmp_path, work)
 
@@ -165,10 +165,10 @@
         if loss == "cut":
             # They and the proxies go on hearing each other: nothing tells a proxy but what they say.
             ones = [name for core in lost for name in core.names()]
-            fleet.world.wires.cut(ones, [n for core in fleet.cores if core not in lost for n in core.names()])
+            fleet.world.links.cut(ones, [n for core in fleet.cores if core not in lost for n in core.names()])
         await asyncio.sleep(left_at + DRAIN_S - fleet.clock.now())
         assert _all_know_left(fleet, "pages-0")
-        await asyncio.sleep(max(0.0, put.ended + IN_FORCE_S - fleet.clock.now()))
+        await asyncio.sleep(max(0.0, put.ended_at + IN_FORCE_S - fleet.clock.now()))
         assert _all_hold_layout(fleet, put.version)
 
     _run(tmp_path, work)
@@ -182,7 +182,7 @@
         lost = [fleet.cores[first], fleet.cores[(first + 2) % 5]]
         rest = [core for core in fleet.cores if core not in lost]
         ones = [name for core in lost for name in core.names()]
-        fleet.world.wires.cut(ones, [name for core in rest for name in core.names()])
+        fleet.world.links.cut(ones, [name for core in rest for name in core.names()])
         end = fleet.clock.now() + CUT_S
         turn = 0
         while fleet.clock.now() < end:
@@ -199,12 +199,12 @@
         # And none goes by the word of those that are cut off any more.
         cut_off = {core.member for core in lost}
         for proxy in _proxies(fleet):
-            assert not cut_off & set(proxy.spread.polled())
+            assert not cut_off & set(proxy.gossip.polled())
             assert proxy.ready() is None
-        fleet.world.wires.heal()
-        await asyncio.sleep(membership.PASSED_OVER_HOLDS * proxy.bounds.hold_s + 3.0)
+        fleet.world.links.heal()
+        await asyncio.sleep(membership.PASSED_OVER_HOLDS * proxy.config.hold_s + 3.0)
         for proxy in _proxies(fleet):
-            assert len(proxy.spread.polled()) == 3
+            assert len(proxy.gossip.polled()) == 3
 
     _run(tmp_path, work)
 
@@ -232,17 +232,17 @@
     async def work(fleet: fleets.SimFleet) -> None:
         lost, rest = fleet.cores[1::2], fleet.cores[::2]
         ones = [name for core in lost for name in core.names()]
-        fleet.world.wires.cut(ones, [name for core in rest for name in core.names()])
+        fleet.world.links.cut(ones, [name for core in rest for name in core.names()])
         await asyncio.sleep(CUT_S)
         # What the majority decided meanwhile, the others learn too.
         assert await _leave_at(fleet, rest[0], "pages-0")
-        fleet.world.wires.heal()
+        fleet.world.links.heal()
         await asyncio.sleep(REJOINED_S)
         for core in fleet.cores:
             registry = core.registry.daemon
-            assert len(registry.spread.cores()) == len(fleet.cores) - 1
-            entry = registry.line.get(timeline.ENDPOINT, "pages-0")
-            assert entry is not None and entry.fields["state"] == timeline.LEFT
+            assert len(registry.gossip.cores()) == len(fleet.cores) - 1
+            entry = registry.timeline.get(timelines.ENDPOINT, "pages-0")
+            assert entry is not None and entry.fields["state"] == timelines.LEFT
 
     _run(tmp_path, work)
 
@@ -254,7 +254,7 @@
         layout = fleet.shape.layout()
         for n in range(MANY_RULES):
             layout["rules"].append({**layout["rules"][0], "name": f"more-{n}", "path": f"/more-{n}"})
-        crossed = fleet.world.wires.crossed
+        crossed = fleet.world.links.crossed
         edges = [edge.node.name for edge in fleet.edges]
 
         def to_edges() -> int:
@@ -278,7 +278,7 @@
         for turn, core in enumerate(fleet.cores):
             put = await fleet.put(_layout(fleet, turn), core)
             assert put.status == 200
-            assert put.ended - put.begun < ACKNOWLEDGED_S
+            assert put.ended_at - put.started_at < ACKNOWLEDGED_S
 
     _run(tmp_path, work)
 
@@ -298,7 +298,7 @@
     async def work(fleet: fleets.SimFleet) -> None:
         proxy = _proxies(fleet)[0]
         held = proxy.documents.version(documents.LAYOUT)
-        await proxy.documents.take_reply(documents.LAYOUT, reply)
+        await proxy.documents.apply_reply(documents.LAYOUT, reply)
         assert proxy.documents.version(documents.LAYOUT) == held
 
     _run(tmp_path, work)
@@ -309,17 +309,19 @@
 
     async def work(fleet: fleets.SimFleet) -> None:
         proxy = _proxies(fleet)[0]
-        for address in proxy.spread.polled():
-            ask = {"cursor": proxy.spread.position(address)}
-            result = await proxy.caller.ask(address, "confirm", ask, proxy.bounds.call_s)
-            assert isinstance(result, outcome.Good)
+        for address in proxy.gossip.polled():
+            ask = {"cursor": proxy.gossip.position(address)}
+            result = await proxy.call_client.call(address, "confirm", ask, proxy.config.call_timeout_s)
+            assert isinstance(result, outcome.Success)
             assert len(result.value["items"]) < len(fleet.cores)
         # One that knows nothing of a core is told all, but for what proxies say of themselves.
         unknown = {"cursor": ["", 0]}
-        result = await proxy.caller.ask(proxy.spread.polled()[0], "confirm", unknown, proxy.bounds.call_s)
-        assert isinstance(result, outcome.Good)
+        result = await proxy.call_client.call(
+            proxy.gossip.polled()[0], "confirm", unknown, proxy.config.call_timeout_s
+        )
+        assert isinstance(result, outcome.Success)
         kinds = {item[0] for item in result.value["items"]}
-        assert timeline.PROXY not in kinds
-        assert {timeline.ENDPOINT, timeline.CORE, timeline.DOCUMENT} <= kinds
+        assert timelines.PROXY not in kinds
+        assert {timelines.ENDPOINT, timelines.CORE, timelines.DOCUMENT} <= kinds
 
     _run(tmp_path, work)
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -20,7 +20,7 @@
 import dykeswitch.simulator.loop as loops
 import dykeswitch.simulator.machines as machines
 import dykeswitch.standin.shape as shapes
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 PAGES: typing.Final = shapes.ServiceShape("pages", 3, 20, "/pages", "GET", 0.05)
 SMALL: typing.Final = shapes.Shape("small", 2, 3, ("z1", "z2"), (PAGES,))
@@ -44,7 +44,7 @@
 def _cut_off(fleet: fleets.SimFleet, core: machines.Core) -> None:
     """Cut a core from all other cores; endpoints, operators and proxies still reach it."""
     others = [name for other in fleet.cores if other is not core for name in other.names()]
-    fleet.world.wires.cut(core.names(), others)
+    fleet.world.links.cut(core.names(), others)
 
 
 async def _ask(
@@ -53,7 +53,7 @@
     """Status, page and seconds of a call from the outside."""
     begun = fleet.clock.now()
     body = b"" if page is None else json.dumps(page).encode()
-    reply = await fleet.outside.web.ask(method, core.web, path, [], body, 10.0)
+    reply = await fleet.outside.web.request(method, core.web, path, [], body, 10.0)
     return reply.status, json.loads(reply.body), fleet.clock.now() - begun
 
 
@@ -67,8 +67,8 @@
 async def _confirm(fleet: fleets.SimFleet, core: machines.Core) -> str:
     """What a proxy is told that asks what a majority holds."""
     ask: frames.Body = {"name": "proxy-9", "cursor": ["", 0]}
-    told = await frames.Caller(fleet.outside.net).ask(ports.address_of(core.member), "confirm", ask, 3.0)
-    return told.code.tag if isinstance(told, outcome.Bad) else "good"
+    told = await frames.CallClient(fleet.outside.net).call(ports.address_of(core.member), "confirm", ask, 3.0)
+    return told.code.tag if isinstance(told, outcome.Failure) else "good"
 
 
 def _up(fleet: fleets.SimFleet) -> list[int]:
@@ -98,9 +98,11 @@
         assert await _beat(fleet, core) == 503
         assert await _beat(fleet, core, leaving=True) == 503
         # Though not acknowledged, it is known to those who hear this registry.
-        assert core.registry.daemon.line.get(timeline.ENDPOINT, "new-1").fields["state"] == timeline.LEFT
+        assert (
+            core.registry.daemon.timeline.get(timelines.ENDPOINT, "new-1").fields["state"] == timelines.LEFT
+        )
         assert await _beat(fleet, fleet.cores[1], "new-2") == 200
-        fleet.world.wires.heal()
+        fleet.world.links.heal()
         await asyncio.sleep(1.5)
         assert await _beat(fleet, core, "new-2") == 200
 
@@ -141,7 +143,7 @@
         assert fresh["majority"] is False and fresh["majority_read_s_ago"] > 2.0
         assert (await _ask(fleet, core, "GET", "/v1/health"))[0] == 200
         # Its duties run out: what it still does under them is told apart by the fence.
-        await asyncio.sleep(core.registry.daemon.bounds.fence_s)
+        await asyncio.sleep(core.registry.daemon.config.fence_max_age_s)
         daemon = core.registry.daemon
         assert all(daemon.duties.hold(slot) is None for slot in range(64))
 
@@ -163,7 +165,7 @@
         assert (await fleet.put(SMALL.layout(), core)).status == 503
         assert (await _ask(fleet, core, "GET", "/readyz"))[0] == 503
         assert await _confirm(fleet, core) == "no_majority"
-        fleet.world.wires.heal()
+        fleet.world.links.heal()
         await asyncio.sleep(1.5)
         assert await _beat(fleet, core) == 200
 
@@ -247,9 +249,9 @@
     if not guarded:
 
         async def beat(self: heartbeats.Heartbeats, raw: typing.Any) -> typing.Any:
-            told = endpoints.read_beat(raw)
-            assert isinstance(told, outcome.Good)
-            return self._parts.endpoints.beat(told.value)
+            told = endpoints.read_heartbeat(raw)
+            assert isinstance(told, outcome.Success)
+            return self._parts.endpoints.record_heartbeat(told.value)
 
         monkeypatch.setattr(heartbeats.Heartbeats, "beat", beat)
 
@@ -262,18 +264,19 @@
         for n, endpoint in enumerate(fleet.endpoints.values()):
             monkeypatch.setattr(endpoint._rng, "randrange", lambda most, n=n: n)
             endpoint.beating = True
-            fleet.spawn(endpoint.beat_for_ever())
+            fleet.spawn(endpoint.send_heartbeats())
         await asyncio.sleep(4.0)
         _cut_off(fleet, core)
         proxies = [edge.node.name for edge in fleet.edges]
-        fleet.world.wires.cut(core.names(), proxies)
+        fleet.world.links.cut(core.names(), proxies)
         worst = 3
         for _ in range(250):
             await asyncio.sleep(0.1)
             states = [
-                entry.fields["state"] for entry in fleet.cores[1].registry.daemon.line.all(timeline.ENDPOINT)
+                entry.fields["state"]
+                for entry in fleet.cores[1].registry.daemon.timeline.all(timelines.ENDPOINT)
             ]
-            worst = min(worst, states.count(timeline.UP), *_up(fleet))
+            worst = min(worst, states.count(timelines.UP), *_up(fleet))
         assert (worst == 3) is guarded
 
     _run(tmp_path, work)
@@ -293,7 +296,7 @@
             core.store.lose_power()
         # One of the endpoints does not reach the last core either, but serves on.
         lone = fleet.endpoints["pages-0"]
-        fleet.world.wires.cut([lone.name], fleet.cores[0].names())
+        fleet.world.links.cut([lone.name], fleet.cores[0].names())
         await asyncio.sleep(25.0)
         assert (_up(fleet) == [3, 3]) is guarded
         if guarded:
--- a/tests/test_data_path.py
+++ b/tests/test_data_path.py
@@ -76,7 +76,7 @@
         assert answer.status == (504 if scripted.SILENT in script else 502)
         assert b"whole" not in answer.body
         # Nothing that a caller could take for "it did not run: send it again".
-        assert not any(key == b"retry-after" for key, _ in answer.heads)
+        assert not any(key == b"retry-after" for key, _ in answer.headers)
         assert sum(len(endpoint.requests) for endpoint in endpoints) == 1
 
     scripted.play(work)
@@ -276,8 +276,8 @@
 
 async def _answer_with_path(scope: ports.Scope, send: ports.Send) -> None:
     body = str(scope["path"]).encode()
-    heads = [(b"content-length", str(len(body)).encode())]
-    await send({"type": "http.response.start", "status": 200, "headers": heads})
+    headers = [(b"content-length", str(len(body)).encode())]
+    await send({"type": "http.response.start", "status": 200, "headers": headers})
     await send({"type": "http.response.body", "body": body})
 
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -23,7 +23,7 @@
 import dykeswitch.settings as settings
 import dykeswitch.simulator.trial as trials
 import dykeswitch.standin.fleet as fleets
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 LAYOUT: typing.Final = {
     "services": {"s": {"probe": "/healthz", "expiry_s": 5, "max_tries": 3}},
@@ -87,20 +87,20 @@
     def __init__(self, endpoints: int = 1) -> None:
         self.endpoints = [Endpoint() for _ in range(endpoints)]
         self.web, *self.addresses = [f"127.0.0.1:{port}" for port in fleets.free_ports(endpoints + 1)]
-        bounds = settings.Settings(
+        config = settings.Settings(
             name="p", zone="z", proof="header", member="127.0.0.1:1", web=self.web, log_level="error"
         )
         machine = real.machine()
         log = logs.Log("proxy", "p", "error", machine.clock)
-        self.proxy = proxies.Proxy(bounds, machine, log, random.Random(1))
+        self.proxy = proxies.Proxy(config, machine, log, random.Random(1))
         # Nobody lends it extra attempts here: it has its own.
-        self.proxy.sharing = lambda: 0.0  # type: ignore[method-assign]
+        self.proxy.borrowing_since = lambda: 0.0  # type: ignore[method-assign]
         for n, address in enumerate(self.addresses):
-            fields: timeline.Fields = {"service": "s", "address": address, "zone": "z"}
-            fields.update(state=timeline.UP, born=[n, "r"], slots=2, load=0.0)
-            self.proxy.line.write(timeline.ENDPOINT, f"e{n}", fields, 900.0, urgent=False)
+            fields: timelines.Fields = {"service": "s", "address": address, "zone": "z"}
+            fields.update(state=timelines.UP, born=[n, "r"], slots=2, load=0.0)
+            self.proxy.timeline.write(timelines.ENDPOINT, f"e{n}", fields, 900.0, urgent=False)
         checked = layouts.check(LAYOUT)
-        assert isinstance(checked, outcome.Good)
+        assert isinstance(checked, outcome.Success)
         self.proxy.carrier.layout = checked.value
         self.proxy._confirmed, self.proxy._doubt = True, False
         self.proxy.carrier._delivery.budget("s").lend(0, 50, machine.clock.now() + 60)
@@ -124,7 +124,7 @@
     async def _tick(self) -> None:
         """Other nodes are heard all the time, and the clock shows no gap."""
         while True:
-            self.proxy._tick = self.proxy.spread.heard = self.proxy.clock.now()
+            self.proxy._tick = self.proxy.gossip.last_heard_at = self.proxy.clock.now()
             await asyncio.sleep(0.02)
 
     @property
@@ -289,7 +289,7 @@
             # No second try, no mark, and nothing that is still counted.
             await asyncio.sleep(0.05)
             assert len(stage.endpoint.arrived) == 1
-            assert stage.proxy.carrier._marks.down("e0") is None
+            assert stage.proxy.carrier._marks.mark_of("e0") is None
             assert stage.proxy.carrier.selector.failures("e0") == 0
             assert (stage.proxy.carrier.table, stage.proxy.carrier.selector.flights) == ({}, {})
 
@@ -304,25 +304,25 @@
 
 async def _unsure(stage: Stage) -> None:
     """The proxy has first to become sure of its configuration."""
-    was = stage.proxy.sure
+    was = stage.proxy.confirm_fresh
 
-    async def sure(by: float) -> bool:
+    async def confirm_fresh(by: float) -> bool:
         await asyncio.sleep(0.4)
         return await was(by)
 
-    stage.proxy.sure = sure  # type: ignore[method-assign]
+    stage.proxy.confirm_fresh = confirm_fresh  # type: ignore[method-assign]
 
 
 async def _connecting(stage: Stage) -> None:
     """The connection to the endpoint takes its time."""
     net = stage.proxy.machine.net
-    dial = net.dial
+    connect = net.connect
 
-    async def slowly(address: ports.Address, wait: float) -> ports.Connection:
+    async def slowly(address: ports.Address, timeout_s: float) -> ports.Connection:
         await asyncio.sleep(0.4)
-        return await dial(address, wait)
+        return await connect(address, timeout_s)
 
-    net.dial = slowly  # type: ignore[method-assign]
+    net.connect = slowly  # type: ignore[method-assign]
 
 
 WAITS: typing.Final = {
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -12,7 +12,7 @@
 import dykeswitch.settings as settings
 import dykeswitch.soundness as soundness
 import dykeswitch.soundness.connection as connections
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 ID: typing.Final = b"dykeswitch-exchange"
 
@@ -25,7 +25,7 @@
         self.wrote: list[bytes] = []
         self.closed = False
 
-    async def read(self, most: int) -> bytes:
+    async def read(self, max_bytes: int) -> bytes:
         return self.parts.pop(0) if self.parts else b""
 
     async def write(self, data: bytes) -> None:
@@ -44,8 +44,8 @@
 
 
 async def _ask(connection: connections.EndpointConnection, name: str) -> tuple[int, bytes]:
-    heads = [(b"host", b"a"), (ID, name.encode())]
-    head = await connection.send("POST", b"/x", [*heads, (b"content-length", b"2")], b"hi")
+    headers = [(b"host", b"a"), (ID, name.encode())]
+    head = await connection.send("POST", b"/x", [*headers, (b"content-length", b"2")], b"hi")
     return head.status, b"".join([part async for part in connection.parts()])
 
 
@@ -80,7 +80,7 @@
 def test_a_reply_to_an_exchange_that_was_never_here_is_not_ours() -> None:
     async def main() -> None:
         connection = _connection(Script(_reply("strange", "1")))
-        with pytest.raises(connections.Flaw) as flaw:
+        with pytest.raises(connections.EndpointConnectionError) as flaw:
             await _ask(connection, "one")
         assert flaw.value.reason == soundness.OTHERS_REPLY and flaw.value.sent
         assert not connection.usable()
@@ -109,7 +109,7 @@
 def test_what_is_no_whole_reply_is_never_one(data: bytes, reason: str) -> None:
     async def main() -> None:
         connection = _connection(Script(data))
-        with pytest.raises(connections.Flaw) as flaw:
+        with pytest.raises(connections.EndpointConnectionError) as flaw:
             await _ask(connection, "one")
         assert (flaw.value.reason, flaw.value.sent) == (reason, True)
         assert not connection.usable()
@@ -196,28 +196,28 @@
     def wall(self) -> float:
         return self.at
 
-    async def sleep(self, span: float) -> None:
-        self.at += span
+    async def sleep(self, duration_s: float) -> None:
+        self.at += duration_s
 
 
-def _selector(zones: dict[str, str], name: str = "p") -> tuple[selection.Selector, Still, timeline.Timeline]:
+def _selector(zones: dict[str, str], name: str = "p") -> tuple[selection.Selector, Still, timelines.Timeline]:
     clock = Still()
-    line = timeline.Timeline("p", clock, 900.0)
-    bounds = settings.Settings(name=name, zone="near")
-    made = selection.Selector(line, timeline.Marks(line, 5.0), bounds, random.Random(1))
+    timeline = timelines.Timeline("p", clock, 900.0)
+    config = settings.Settings(name=name, zone="near")
+    made = selection.Selector(timeline, timelines.Marks(timeline, 5.0), config, random.Random(1))
     for n, (endpoint, zone) in enumerate(zones.items()):
-        fields: timeline.Fields = {
+        fields: timelines.Fields = {
             "service": "s",
             "address": f"10.0.{n // 250}.{n % 250 + 1}:1",
             "zone": zone,
         }
         fields.update(state="up", born=[n, "r"], slots=2, load=0.0)
-        line.write(timeline.ENDPOINT, endpoint, fields, 900.0, urgent=False)
-    return made, clock, line
+        timeline.write(timelines.ENDPOINT, endpoint, fields, 900.0, urgent=False)
+    return made, clock, timeline
 
 
-def _get(line: timeline.Timeline, name: str) -> timeline.Entry:
-    found = line.get(timeline.ENDPOINT, name)
+def _get(timeline: timelines.Timeline, name: str) -> timelines.Entry:
+    found = timeline.get(timelines.ENDPOINT, name)
     assert found is not None
     return found
 
@@ -232,10 +232,10 @@
 
 
 def test_a_near_endpoint_goes_first_until_its_queue_costs_more_than_the_way() -> None:
-    selector, _, line = _selector({"a": "near", "b": "far"})
+    selector, _, timeline = _selector({"a": "near", "b": "far"})
     for name in ("a", "b"):
         for _ in range(50):
-            selector.learn(_get(line, name), 0.06, 0.0, adapters.Load(0, 0, 2))
+            selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
     assert set(_picked(selector)) == {"a"}
     for _ in range(8):
         selector.begun("a")
@@ -243,21 +243,21 @@
 
 
 def test_the_faster_of_two_gets_more() -> None:
-    selector, _, line = _selector({"a": "near", "b": "near"})
+    selector, _, timeline = _selector({"a": "near", "b": "near"})
     for _ in range(60):
-        selector.learn(_get(line, "a"), 0.03, 0.0, adapters.Load(0, 0, 2))
-        selector.learn(_get(line, "b"), 0.09, 0.0, adapters.Load(0, 0, 2))
+        selector.learn(_get(timeline, "a"), 0.03, 0.0, adapters.Load(0, 0, 2))
+        selector.learn(_get(timeline, "b"), 0.09, 0.0, adapters.Load(0, 0, 2))
     found = _picked(selector)
     assert found.get("a", 0) > 190
 
 
 def test_a_told_queue_counts_and_fades_into_what_is_usual() -> None:
-    selector, clock, line = _selector({"a": "near", "b": "near"})
+    selector, clock, timeline = _selector({"a": "near", "b": "near"})
     for name in ("a", "b"):
         for _ in range(60):
-            selector.learn(_get(line, name), 0.06, 0.0, adapters.Load(0, 0, 2))
+            selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
     selector.begun("a")
-    selector.learn(_get(line, "a"), 0.06, 0.0, adapters.Load(2, 6, 2))
+    selector.learn(_get(timeline, "a"), 0.06, 0.0, adapters.Load(2, 6, 2))
     selector.ended("a")
     assert set(_picked(selector)) == {"b"}
     clock.at += 1.0
@@ -265,10 +265,10 @@
 
 
 def test_one_that_turned_a_request_away_rests_for_a_while() -> None:
-    selector, clock, line = _selector({"a": "near", "b": "near"})
+    selector, clock, timeline = _selector({"a": "near", "b": "near"})
     for name in ("a", "b"):
         for _ in range(60):
-            selector.learn(_get(line, name), 0.06, 0.0, adapters.Load(0, 0, 2))
+            selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
     selector.full("a")
     assert set(_picked(selector)) == {"b"}
     clock.at += 1.0
@@ -310,29 +310,29 @@
 
 def test_marked_endpoints_give_their_place_in_the_subset_to_others() -> None:
     zones = {f"e{n}": "near" for n in range(40)}
-    selector, _, line = _selector(zones)
-    marks = timeline.Marks(line, 5.0)
+    selector, _, timeline = _selector(zones)
+    marks = timelines.Marks(timeline, 5.0)
 
     async def main() -> None:
         for n in range(35):
-            marks.set(f"e{n}", "timed out", "p")
+            marks.set_down(f"e{n}", "timed out", "p")
 
     asyncio.run(main())
     assert set(_picked(selector)) == {f"e{n}" for n in range(35, 40)}
 
 
 def test_an_endpoint_that_moved_to_another_zone_is_no_longer_near() -> None:
-    selector, _, line = _selector({"a": "near", "b": "near"})
-    moved = {**_get(line, "a").fields, "zone": "elsewhere"}
-    line.write(timeline.ENDPOINT, "a", moved, 900.0, urgent=False)
+    selector, _, timeline = _selector({"a": "near", "b": "near"})
+    moved = {**_get(timeline, "a").fields, "zone": "elsewhere"}
+    timeline.write(timelines.ENDPOINT, "a", moved, 900.0, urgent=False)
     assert set(_picked(selector)) == {"b"}
 
 
 def test_one_failure_sends_a_proxy_to_others_that_are_as_good_for_a_while() -> None:
-    selector, clock, line = _selector({"a": "near", "b": "near"})
+    selector, clock, timeline = _selector({"a": "near", "b": "near"})
     for name in ("a", "b"):
         for _ in range(50):
-            selector.learn(_get(line, name), 0.06, 0.0, adapters.Load(0, 0, 2))
+            selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
     selector.failed("a")
     assert set(_picked(selector)) == {"b"}
     # No more than a preference: once the others' queues cost more, it is asked again.
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -40,7 +40,7 @@
     real = voters.Voter._take_up
 
     async def careless(self: voters.Voter, ask: messages.Accept) -> messages.Accepted:
-        self._seats.setdefault(ask.key, voters.Seat()).promised = register.ZERO
+        self._key_states.setdefault(ask.key, voters.KeyState()).promised = register.ZERO_BALLOT
         return await real(self, ask)
 
     patch.setattr(voters.Voter, "_take_up", careless)
@@ -61,8 +61,8 @@
     """A disk answers calls that count by a member set that was left behind."""
     real = voters.Voter._barred
 
-    def lenient(self: voters.Voter, key: str, disk: str, epoch: int) -> outcome.Bad | None:
-        return real(self, key, disk, register.COUNT_MOST)
+    def lenient(self: voters.Voter, key: str, disk: str, epoch: int) -> outcome.Failure | None:
+        return real(self, key, disk, register.MAX_COUNT)
 
     patch.setattr(voters.Voter, "_barred", lenient)
 
@@ -73,7 +73,7 @@
     def one_group(groups: typing.Any, yes: typing.Collection[str]) -> bool:
         return any(register.majority(group, yes) for group in groups)
 
-    patch.setattr(register, "carried", one_group)
+    patch.setattr(register, "has_majorities", one_group)
 
 
 def _no_adoption(patch: pytest.MonkeyPatch) -> None:
@@ -81,14 +81,14 @@
     real = proposers._highest
 
     def forgetful(yes: dict[str, messages.Promise]) -> tuple[register.Ballot, register.Value]:
-        return real(yes)[0], register.BLANK
+        return real(yes)[0], register.INITIAL_VALUE
 
     patch.setattr(proposers, "_highest", forgetful)
 
 
 def _no_version_check(patch: pytest.MonkeyPatch) -> None:
     """A document is taken up whatever version is held."""
-    real = documents.Documents.take
+    real = documents.Documents.apply
 
     async def eager(self: documents.Documents, name: str, version: int, data: bytes) -> bool:
         held = self._held.pop(name, None)
@@ -97,7 +97,7 @@
             self._held[name] = held
         return taken
 
-    patch.setattr(documents.Documents, "take", eager)
+    patch.setattr(documents.Documents, "apply", eager)
 
 
 Removal = typing.Callable[[pytest.MonkeyPatch], None]
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -33,7 +33,7 @@
     def __init__(self, seed: int, scratch: pathlib.Path, acts: list[Act]) -> None:
         self.world = worlds.World(seed, scratch)
         self.machine = self.world.machine_for("peer")
-        self.caller = frames.Caller(self.world.machine_for("caller").net)
+        self.call_client = frames.CallClient(self.world.machine_for("caller").net)
         self._acts = acts
         self.heard: list[frames.Body] = []
 
@@ -47,12 +47,12 @@
             await self._acts.pop(0)(self, connection, body)
 
     async def ask(self, word: str) -> frames.Result:
-        return await self.caller.ask(ADDRESS, "echo", {"word": word}, WAIT_S)
+        return await self.call_client.call(ADDRESS, "echo", {"word": word}, WAIT_S)
 
 
 def _frame(body: frames.Body) -> bytes:
     data = cbor2.dumps(body)
-    return frames.HEAD.pack(frames.MAGIC, frames.VERSION, len(data)) + data
+    return frames.HEADER.pack(frames.MAGIC, frames.VERSION, len(data)) + data
 
 
 def _answer(body: frames.Body) -> bytes:
@@ -114,7 +114,7 @@
         said = []
         for word in words:
             result = await peer.ask(word)
-            said.append(result.value["word"] if isinstance(result, outcome.Good) else result.code.tag)
+            said.append(result.value["word"] if isinstance(result, outcome.Success) else result.code.tag)
             await asyncio.sleep(pause)
         return said, peer.heard
 
@@ -206,14 +206,14 @@
             self._machine = machine
 
         async def run(self) -> None:
-            ear = frames.Ear({"echo": self._echo}, lambda event, what: None)
-            await self._machine.net.listen(ADDRESS, ear.serve)
+            server = frames.CallServer({"echo": self._echo}, lambda event, what: None)
+            await self._machine.net.listen(ADDRESS, server.serve)
             await asyncio.Event().wait()
 
         async def _echo(self, body: frames.Body) -> frames.Result:
             assert frames.CALL_ID not in body
             await asyncio.sleep(0.1)
-            return outcome.Good({"word": body["word"], "run": self._run})
+            return outcome.Success({"word": body["word"], "run": self._run})
 
         def stop(self) -> None:
             return None
@@ -222,22 +222,22 @@
         world = worlds.World(1, tmp_path)
         node = world.add("peer", "peer", lambda machine, log, rng: Program(machine))
         node.start()
-        caller = frames.Caller(world.machine_for("caller").net)
+        call_client = frames.CallClient(world.machine_for("caller").net)
         await asyncio.sleep(0.1)
-        first = await caller.ask(ADDRESS, "echo", {"word": "a"}, WAIT_S)
-        assert isinstance(first, outcome.Good) and first.value["run"] == 1
-        call = asyncio.create_task(caller.ask(ADDRESS, "echo", {"word": "b"}, WAIT_S))
+        first = await call_client.call(ADDRESS, "echo", {"word": "a"}, WAIT_S)
+        assert isinstance(first, outcome.Success) and first.value["run"] == 1
+        call = asyncio.create_task(call_client.call(ADDRESS, "echo", {"word": "b"}, WAIT_S))
         await asyncio.sleep(0.05)
         node.kill()
         node.restart()
         second = await call
         # The connection was reset; the call went once more, to the new run, or came back as none.
-        if isinstance(second, outcome.Good):
+        if isinstance(second, outcome.Success):
             assert (second.value["word"], second.value["run"]) == ("b", 2)
         else:
             assert second.code.tag == "no_reply"
-        third = await caller.ask(ADDRESS, "echo", {"word": "c"}, WAIT_S)
-        assert isinstance(third, outcome.Good)
+        third = await call_client.call(ADDRESS, "echo", {"word": "c"}, WAIT_S)
+        assert isinstance(third, outcome.Success)
         assert (third.value["word"], third.value["run"]) == ("c", 2)
 
     loops.run(main())
@@ -248,12 +248,12 @@
         world = worlds.World(1, tmp_path)
 
         async def echo(body: frames.Body) -> frames.Result:
-            return outcome.Good({})
+            return outcome.Success({})
 
-        ear = frames.Ear({"echo": echo}, lambda event, what: None)
-        await world.machine_for("peer").net.listen(ADDRESS, ear.serve)
-        for odd in (7, "text", b"x" * (frames.CALL_ID_MOST + 1), None, [b"x"]):
-            raw = await world.machine_for("caller").net.dial(ADDRESS, WAIT_S)
+        server = frames.CallServer({"echo": echo}, lambda event, what: None)
+        await world.machine_for("peer").net.listen(ADDRESS, server.serve)
+        for odd in (7, "text", b"x" * (frames.MAX_CALL_ID_BYTES + 1), None, [b"x"]):
+            raw = await world.machine_for("caller").net.connect(ADDRESS, WAIT_S)
             connection = frames.FrameConnection(raw)
             await connection.write({"kind": "echo", frames.CALL_ID: odd})
             reply = await connection.read()
@@ -267,11 +267,11 @@
         world = worlds.World(1, tmp_path)
 
         async def echo(body: frames.Body) -> frames.Result:
-            return outcome.Good({"word": body["word"]})
+            return outcome.Success({"word": body["word"]})
 
-        ear = frames.Ear({"echo": echo}, lambda event, what: None)
-        await world.machine_for("peer").net.listen(ADDRESS, ear.serve)
-        raw = await world.machine_for("caller").net.dial(ADDRESS, WAIT_S)
+        server = frames.CallServer({"echo": echo}, lambda event, what: None)
+        await world.machine_for("peer").net.listen(ADDRESS, server.serve)
+        raw = await world.machine_for("caller").net.connect(ADDRESS, WAIT_S)
         connection = frames.FrameConnection(raw)
         for word in ("a", "b"):
             await connection.write({"kind": "echo", "word": word})
@@ -306,23 +306,23 @@
         async def echo(body: frames.Body) -> frames.Result:
             heard.append(body["word"])
             await asyncio.sleep(0.05)
-            return outcome.Good({"word": body["word"]})
+            return outcome.Success({"word": body["word"]})
 
-        ear = frames.Ear({"echo": echo}, lambda event, what: None)
-        await world.machine_for("peer").net.listen(ADDRESS, ear.serve)
+        server = frames.CallServer({"echo": echo}, lambda event, what: None)
+        await world.machine_for("peer").net.listen(ADDRESS, server.serve)
         net = world.machine_for("caller").net
 
         class Network:
             """Dials connections that double."""
 
-            async def dial(self, address: ports.Address, wait: float) -> ports.Connection:
-                return typing.cast(ports.Connection, Doubling(await net.dial(address, wait)))
+            async def connect(self, address: ports.Address, timeout_s: float) -> ports.Connection:
+                return typing.cast(ports.Connection, Doubling(await net.connect(address, timeout_s)))
 
-        caller = frames.Caller(typing.cast(ports.Network, Network()))
+        call_client = frames.CallClient(typing.cast(ports.Network, Network()))
         said = []
         for word in ("a", "b", "c"):
-            result = await caller.ask(ADDRESS, "echo", {"word": word}, WAIT_S)
-            said.append(result.value["word"] if isinstance(result, outcome.Good) else result.code.tag)
+            result = await call_client.call(ADDRESS, "echo", {"word": word}, WAIT_S)
+            said.append(result.value["word"] if isinstance(result, outcome.Success) else result.code.tag)
         assert said == ["a", "bad_frame", "c"]
         assert heard == ["a", "a", "b", "c"]
 
@@ -337,14 +337,14 @@
         for name in ("one", "two"):
             (tmp_path / name).mkdir()
             disk = disks.SimDisk(tmp_path / name, random.Random(name))
-            voter = voters.Voter(disk, ports.NoPoints(), random.Random(name))
+            voter = voters.Voter(disk, ports.NoFaultPoints(), random.Random(name))
             await voter.open()
             found.append(voter)
         one, two = found
         members = register.MemberSet(1, (((one.disk_id, ADDRESS), (two.disk_id, ADDRESS)),))
         for voter in found:
             install = messages.Install(members, voter.disk_id)
-            assert isinstance(await voter.kinds()[install.KIND](messages.encode(install)), outcome.Good)
+            assert isinstance(await voter.kinds()[install.KIND](messages.encode(install)), outcome.Success)
         asked: list[messages.Request] = [
             messages.Prepare("k", (1, "p"), 1, one.disk_id),
             messages.Accept("k", (1, "p"), register.Value(1, b"x"), 1, one.disk_id),
@@ -354,7 +354,7 @@
         ]
         for ask in asked:
             result = await two.kinds()[ask.KIND](messages.encode(ask))
-            assert isinstance(result, outcome.Bad)
+            assert isinstance(result, outcome.Failure)
             assert result.code.tag == "other_disk"
         assert two.members.epoch == 1
 
@@ -414,31 +414,33 @@
         address = world.address()
 
         async def odd(body: frames.Body) -> frames.Result:
-            return outcome.Good({"ballot": "x", "set": 7, "keys": {"a": 1}})
+            return outcome.Success({"ballot": "x", "set": 7, "keys": {"a": 1}})
 
         async def outvoted(body: frames.Body) -> frames.Result:
-            return outcome.bad("outvoted", f"{2**80}")
+            return outcome.failure("outvoted", f"{2**80}")
 
-        kinds: dict[str, frames.Handle] = {
+        kinds: dict[str, frames.Handler] = {
             "prepare": outvoted,
             "accept": odd,
             "read": odd,
             "keys": odd,
             "state": odd,
         }
-        ear = frames.Ear(kinds, lambda event, what: None)
-        await world.machine_for("store").net.listen(address, ear.serve)
+        server = frames.CallServer(kinds, lambda event, what: None)
+        await world.machine_for("store").net.listen(address, server.serve)
         machine = world.machine_for("registry")
-        caller = frames.Caller(machine.net)
-        proposer = proposers.Proposer("a", caller, machine.clock, machine.points, WAIT_S, random.Random(1))
+        call_client = frames.CallClient(machine.net)
+        proposer = proposers.Proposer(
+            "a", call_client, machine.clock, machine.fault_points, WAIT_S, random.Random(1)
+        )
         proposer.quorum.adopt(register.MemberSet(1, ((("d", address),),)))
         read = await proposer.read("k")
-        assert isinstance(read, outcome.Bad) and read.code.tag == "no_majority"
+        assert isinstance(read, outcome.Failure) and read.code.tag == "no_majority"
         assert await proposer.copies.keys() is None
         assert not await proposer.quorum.learn()
         changed = await proposer.change("k", lambda now: now)
-        assert isinstance(changed, outcome.Bad) and changed.code.tag == "no_majority"
+        assert isinstance(changed, outcome.Failure) and changed.code.tag == "no_majority"
         # A count that no ballot could pass was not taken up.
-        assert register.whole(proposer._ballot()[0])
+        assert register.is_count(proposer._ballot()[0])
 
     loops.run(main())
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -60,8 +60,8 @@
 @steady
 @hypothesis.given(plain | _mixed(BEAT))
 def test_beats(raw: object) -> None:
-    result = endpoints.read_beat(raw)
-    if isinstance(result, outcome.Good):
+    result = endpoints.read_heartbeat(raw)
+    if isinstance(result, outcome.Success):
         beat = result.value
         assert 0 < len(beat.name) <= endpoints.NAME_MOST
         assert 0 <= beat.load < 1e9
@@ -108,7 +108,7 @@
 )
 def test_sentences(text: str) -> None:
     result = language.parse(text)
-    if isinstance(result, outcome.Good):
+    if isinstance(result, outcome.Success):
         if isinstance(result.value, language.Pause):
             # A window that no calendar holds could never be shown again.
             assert 0 < result.value.for_s + result.value.in_s <= 2 * grammar.SPAN_MOST
@@ -130,13 +130,13 @@
 def test_layouts(raw: object) -> None:
     data = json.dumps(raw).encode()
     result = layouts.read(data)
-    if isinstance(result, outcome.Good):
+    if isinstance(result, outcome.Success):
         layout = result.value
         for rule in layout.rules:
             assert layout.match(rule.host, rule.path, "GET") is not None or rule.methods
             layouts.limits(layout, rule)
         # What was accepted reads the same again.
-        assert isinstance(layouts.read(layouts.pack(layout)), outcome.Good)
+        assert isinstance(layouts.read(layouts.serialize(layout)), outcome.Success)
     else:
         assert result.code.tag in ("bad_layout", "bad_json")
         "".join(map(str, typing.cast(list[str], result.page().get("faults", [])))).encode()
@@ -149,8 +149,8 @@
         self._data = data
         self.out = bytearray()
 
-    async def read(self, most: int) -> bytes:
-        part, self._data = self._data[:most], self._data[most:]
+    async def read(self, max_bytes: int) -> bytes:
+        part, self._data = self._data[:max_bytes], self._data[max_bytes:]
         return part
 
     async def write(self, data: bytes) -> None:
@@ -164,7 +164,7 @@
 
 
 def _framed(data: bytes) -> bytes:
-    return frames.HEAD.pack(frames.MAGIC, frames.VERSION, len(data)) + data
+    return frames.HEADER.pack(frames.MAGIC, frames.VERSION, len(data)) + data
 
 
 @steady
@@ -176,10 +176,10 @@
 def test_frames(data: bytes) -> None:
     async def main() -> None:
         connection = _Bytes(data)
-        ear = frames.Ear({}, lambda event, what: None)
-        await ear.serve(typing.cast(ports.Connection, connection))
+        server = frames.CallServer({}, lambda event, what: None)
+        await server.serve(typing.cast(ports.Connection, connection))
         if connection.out:
-            said = cbor2.loads(bytes(connection.out[frames.HEAD.size :]))
+            said = cbor2.loads(bytes(connection.out[frames.HEADER.size :]))
             assert said["kind"] == "bad"
 
     asyncio.run(main())
@@ -290,11 +290,11 @@
 
     async def main() -> None:
         async def handle(body: frames.Body) -> frames.Result:
-            return outcome.Good({"epoch": int(body["epoch"])})
+            return outcome.Success({"epoch": int(body["epoch"])})
 
         told: list[str] = []
-        ear = frames.Ear({"keys": handle}, lambda event, what: told.append(what))
-        reply = await ear._reply({"kind": "keys", "epoch": math.inf})
+        server = frames.CallServer({"keys": handle}, lambda event, what: told.append(what))
+        reply = await server._reply({"kind": "keys", "epoch": math.inf})
         assert (reply["kind"], reply["tag"]) == ("bad", "bad_frame")
         assert len(told) == 1
 
@@ -309,9 +309,9 @@
         await fleet.start()
         version = fleet.puts[-1].version
         rng = random.Random(6)
-        caller = frames.Caller(fleet.outside.net)
+        call_client = frames.CallClient(fleet.outside.net)
         members = [c.member for c in fleet.cores] + list(fleet.store_addresses)
-        members.append(fleet.edges[0].node.daemon.bounds.member)
+        members.append(fleet.edges[0].node.daemon.config.member)
         voters = [c.store.daemon.voter for c in fleet.cores]
         tags = set()
         for _ in range(60):
@@ -323,19 +323,19 @@
                         call["disk"] = next((v.disk_id for v in voters), "")
                     if not _can(call):
                         continue
-                    result = await caller.ask(ports.address_of(address), str(call["kind"]), call, 3.0)
-                    if isinstance(result, outcome.Bad):
+                    result = await call_client.call(ports.address_of(address), str(call["kind"]), call, 3.0)
+                    if isinstance(result, outcome.Failure):
                         tags.add(result.code.tag)
             await asyncio.sleep(1.0)
         assert {"bad_frame", "no_kind", "other_disk"} <= tags, tags
         assert "broke" not in tags
         for node in fleet.world.nodes.values():
-            assert not node.flaw, node.flaw
+            assert not node.crash, node.crash
         # Nothing of it stands: the set, the layout, the endpoints are what they were.
         assert {v.members.epoch for v in voters} == {1}
         got = await fleet.get(fleet.cores[0])
         assert (got.status, got.version) == (200, version)
-        ask = await fleet.callers.ask(SMALL.services[0], fleet.edges[0].web)
+        ask = await fleet.clients.send_request(SMALL.services[0], fleet.edges[0].web)
         assert ask.status == 200
         for sentence in ("who is paused", "show endpoints", "show proxies", "show members", "show history"):
             assert await fleet.query(sentence, fleet.cores[0]) is not None, sentence
@@ -393,9 +393,9 @@
             for name in fleet.endpoints:
                 fleet.edges[0].node.daemon.marks.clear(name, "test")
             await asyncio.sleep(0.1)
-            reply = await fleet.outside.web.ask("GET", fleet.edges[0].web, "/pages/x", [], b"", 12.0)
-            seen.add(reply.head("dykeswitch-result") or str(reply.status))
-            size = reply.head("content-length")
+            reply = await fleet.outside.web.request("GET", fleet.edges[0].web, "/pages/x", [], b"", 12.0)
+            seen.add(reply.header("dykeswitch-result") or str(reply.status))
+            size = reply.header("content-length")
             assert size is None or int(size) == len(reply.body)
             if reply.status == 200:
                 low = said.lower()
@@ -404,7 +404,7 @@
         proxy = fleet.edges[0].node.daemon.carrier
         assert not proxy.table
         assert not proxy.selector.flights
-        assert not fleet.edges[0].node.flaw
+        assert not fleet.edges[0].node.crash
 
     loops.run(main())
 
@@ -416,7 +416,7 @@
         await fleet.start()
         body = json.dumps({"text": 'pause pages-0 for 1h because "x"', "by": text}).encode()
         web = fleet.cores[0].web
-        reply = await fleet.outside.web.ask("POST", web, "/v1/query", [], body, 5.0)
+        reply = await fleet.outside.web.request("POST", web, "/v1/query", [], body, 5.0)
         assert reply.status == 200
         assert await fleet.query("show pauses", fleet.cores[1]) is not None
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -36,7 +36,7 @@
 import dykeswitch.simulator.faults.control as control
 import dykeswitch.simulator.trial as trials
 import dykeswitch.soundness.connection as connections
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 Wreck = typing.Callable[[pytest.MonkeyPatch], None]
 
@@ -45,14 +45,16 @@
     async def proven(connection: connections.EndpointConnection, path: str, served_by: bytes) -> None:
         return None
 
-    patch.setattr(connections, "prove", proven)
+    patch.setattr(connections, "verify", proven)
     # A request names the endpoint that it is for, and any other refuses it: with that guard
     # alone the address holds too, so both are taken away.
-    patch.setattr(adapters.Own, "heads", adapters.Heads(expected=b"x-nobody"))
+    patch.setattr(adapters.DefaultAdapter, "header_names", adapters.HeaderNames(expected=b"x-nobody"))
 
 
 def _always_retry(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(carriers.Carrier, "_is_spent", lambda self, x: x.goes >= x.max_tries)
+    patch.setattr(
+        carriers.Carrier, "_is_spent", lambda self, exchange: exchange.attempts >= exchange.max_tries
+    )
     # The budget would hide it: few extra go's are paid for in a day this short.
     _no_budget(patch)
 
@@ -63,30 +65,32 @@
 
 def _tries_for_ever(patch: pytest.MonkeyPatch) -> None:
     # Orders are still kept to what holds for them: this is of reading alone.
-    patch.setattr(carriers.Carrier, "_is_spent", lambda self, x: x.writing and x.goes > 0)
+    patch.setattr(
+        carriers.Carrier, "_is_spent", lambda self, exchange: exchange.writing and exchange.attempts > 0
+    )
     _no_budget(patch)
 
 
 def _keeps_what_failed(patch: pytest.MonkeyPatch) -> None:
     deliver = deliveries.Delivery.deliver
 
-    async def delivered(self: deliveries.Delivery, x: exchanges.Exchange) -> None:
-        await deliver(self, x)
-        if x.head_came and x.answer is None:
-            x.answer = exchanges.Answer(connections.Head(200, []), b"", None)
+    async def delivered(self: deliveries.Delivery, exchange: exchanges.Exchange) -> None:
+        await deliver(self, exchange)
+        if exchange.head_came and exchange.answer is None:
+            exchange.answer = exchanges.Answer(connections.ResponseHead(200, []), b"", None)
 
     patch.setattr(deliveries.Delivery, "deliver", delivered)
 
 
 def _hands_on_all_time(patch: pytest.MonkeyPatch) -> None:
-    own = headers.request_heads
+    own = headers.request_headers
 
     def from_the_begin(
-        x: exchanges.Exchange, adapter: adapters.Adapter, names: adapters.Heads, now: float
-    ) -> connections.Heads:
-        return own(x, adapter, names, x.born)
+        exchange: exchanges.Exchange, adapter: adapters.Adapter, names: adapters.HeaderNames, now: float
+    ) -> connections.Headers:
+        return own(exchange, adapter, names, exchange.started_at)
 
-    patch.setattr(headers, "request_heads", from_the_begin)
+    patch.setattr(headers, "request_headers", from_the_begin)
 
 
 def _deaf_to_departures(patch: pytest.MonkeyPatch) -> None:
@@ -100,7 +104,7 @@
         try:
             async for part in whole(self):
                 yield part
-        except connections.Flaw:
+        except connections.EndpointConnectionError:
             return
 
     patch.setattr(connections.EndpointConnection, "parts", parts)
@@ -109,9 +113,11 @@
 def _always_hint(patch: pytest.MonkeyPatch) -> None:
     answer = answering.Answering.refuse
 
-    async def hinted(self: answering.Answering, x: exchanges.Exchange, bad: outcome.Bad) -> None:
-        x.retry_after = 1
-        await answer(self, x, bad)
+    async def hinted(
+        self: answering.Answering, exchange: exchanges.Exchange, failure: outcome.Failure
+    ) -> None:
+        exchange.retry_after = 1
+        await answer(self, exchange, failure)
 
     patch.setattr(answering.Answering, "refuse", hinted)
 
@@ -153,21 +159,21 @@
 
 
 def _up_of_all(self: typing.Any, service: str) -> list[typing.Any]:
-    return [e for e in self._line.all("endpoint") if e.fields["service"] == service]
+    return [e for e in self._timeline.all("endpoint") if e.fields["service"] == service]
 
 
 def _hears_forever(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(proxies.Proxy, "silent", lambda self: 0.0)
+    patch.setattr(proxies.Proxy, "silence_s", lambda self: 0.0)
 
 
 def _no_fence(patch: pytest.MonkeyPatch) -> None:
     # The prober's own look at its clock covers for the fence: both are taken away.
-    patch.setattr(timeline.Timeline, "_fence_holds", lambda self, entry: True)
+    patch.setattr(timelines.Timeline, "_fence_holds", lambda self, entry: True)
     patch.setattr(probers.Prober, "_stale", lambda self, begun: False)
 
 
 def _no_last_call(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(proxies.Proxy, "_hurry", lambda self, x: None)
+    patch.setattr(proxies.Proxy, "_hurry", lambda self, exchange: None)
 
 
 def _lends_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -180,7 +186,7 @@
 
 
 def _no_knocking(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(membership.Spread, "_stranger", lambda self: None)
+    patch.setattr(membership.Gossip, "_stranger", lambda self: None)
 
 
 def _confirms_by_memory(patch: pytest.MonkeyPatch) -> None:
@@ -199,7 +205,7 @@
     async def keep(self: upkeeps.Upkeep) -> None:
         while True:
             await reading(self._parts.publisher)
-            await asyncio.sleep(self._bounds.sweep_s)
+            await asyncio.sleep(self._config.sweep_interval_s)
 
     patch.setattr(publishers.Publisher, "read_documents", read)
     patch.setattr(upkeeps.Upkeep, "_keep_reading", keep)
@@ -209,14 +215,14 @@
 def _slips_back(patch: pytest.MonkeyPatch) -> None:
     reads = proxies.Proxy._reads
 
-    async def slip(self: proxies.Proxy, name: str, version: int, data: bytes) -> documents.Take | None:
+    async def slip(self: proxies.Proxy, name: str, version: int, data: bytes) -> documents.Apply | None:
         old = self.carrier.layout
-        take = await reads(self, name, version, data)
-        if take is None or name != documents.LAYOUT or old is None:
-            return take
+        apply = await reads(self, name, version, data)
+        if apply is None or name != documents.LAYOUT or old is None:
+            return apply
 
         def back() -> None:
-            take()
+            apply()
             fresh = self.carrier.layout
             loop = asyncio.get_running_loop()
             loop.call_later(0.6, lambda: setattr(self.carrier, "layout", old))
@@ -241,10 +247,10 @@
 
 
 def _reads_by_memory(patch: pytest.MonkeyPatch) -> None:
-    async def newest(self: orders.Orders) -> outcome.Good[register.Value] | outcome.Bad:
+    async def newest(self: orders.Orders) -> outcome.Success[register.Value] | outcome.Failure:
         held = self._parts.publisher.documents
         version = held.version(documents.LAYOUT)
-        return outcome.Good(register.Value(version, held.body(documents.LAYOUT)))
+        return outcome.Success(register.Value(version, held.body(documents.LAYOUT)))
 
     patch.setattr(orders.Orders, "newest", newest)
 
@@ -259,19 +265,19 @@
 
 def _never_mends(patch: pytest.MonkeyPatch) -> None:
     # Reads that find copies apart and the sweep cover for each other: both are taken away.
-    async def sweep_copies(self: proposers.Proposer) -> int:
+    async def repair_copies(self: proposers.Proposer) -> int:
         return 0
 
     async def read(self: proposers.Proposer, key: str) -> proposers.Read:
         have = self.copies._held.get(key)
         found = await self.copies.everyone(key)
         if len(found) < 2:
-            return outcome.bad("no_majority")
+            return outcome.failure("no_majority")
         top = max(copy.ballot for copy in found.values())
         newest = {disk: copy for disk, copy in found.items() if copy.ballot == top}
-        return outcome.Good(self.copies._value_of(key, top, newest, have))
+        return outcome.Success(self.copies._value_of(key, top, newest, have))
 
-    patch.setattr(proposers.Proposer, "sweep_copies", sweep_copies)
+    patch.setattr(proposers.Proposer, "repair_copies", repair_copies)
     # Each read waits for the core that is down: with all the changes it is a day of five minutes.
     patch.setattr(control, "CHANGES", 24)
     patch.setattr(proposers.Proposer, "read", read)
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -7,16 +7,16 @@
 
 import dykeswitch.simulator.history as histories
 import dykeswitch.simulator.observations as observations
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 
 
-def _ask(name: str, **more: typing.Any) -> callers.Ask:
-    fields: dict[str, typing.Any] = {"address": "p", "ended": 100.1, "status": 200, **more}
-    return callers.Ask(name, "exports", True, fields.pop("begun", 100.0), **fields)
+def _ask(name: str, **more: typing.Any) -> clients.Request:
+    fields: dict[str, typing.Any] = {"address": "p", "ended_at": 100.1, "status": 200, **more}
+    return clients.Request(name, "exports", True, fields.pop("started_at", 100.0), **fields)
 
 
-def _run(ask: str, endpoint: str = "exports-0", service: str = "exports") -> callers.Run:
-    return callers.Run(ask, endpoint, service, 100.05)
+def _run(ask: str, endpoint: str = "exports-0", service: str = "exports") -> clients.Execution:
+    return clients.Execution(ask, endpoint, service, 100.05)
 
 
 def _doc(service: str) -> str:
@@ -24,20 +24,20 @@
     return json.dumps({"rules": [{"path": "/rove", "service": service}]})
 
 
-def _put(version: int, ended: float, **more: typing.Any) -> observations.Put:
+def _put(version: int, ended: float, **more: typing.Any) -> observations.LayoutPut:
     fields: dict[str, typing.Any] = {"body": _doc(f"b{version}"), "match": None, "status": 200, **more}
-    return observations.Put(
+    return observations.LayoutPut(
         ended - 0.1, fields.pop("body"), fields.pop("match"), ended, version=version, **fields
     )
 
 
 def _rove(story: histories.History, at: float, service: str, **more: typing.Any) -> None:
     """A request that rules move about, and the service that it reached."""
-    name = f"rove-{len(story.roves)}"
-    fields = {"address": "p", "ended": at, "status": 200, "method": "GET", "path": "/rove", **more}
-    story.roves[name] = callers.Ask(name, "", False, at, **fields)
+    name = f"rove-{len(story.route_checks)}"
+    fields = {"address": "p", "ended_at": at, "status": 200, "method": "GET", "path": "/rove", **more}
+    story.route_checks[name] = clients.Request(name, "", False, at, **fields)
     if service:
-        story.hits.append((at, name, f"{service}-0"))
+        story.arrivals.append((at, name, f"{service}-0"))
 
 
 def _sample(at: float, layout: int, boot: int = 1) -> observations.Sample:
@@ -47,15 +47,15 @@
 def sound() -> histories.History:
     """A history in which nothing is wrong."""
     story = histories.History(
-        asks=[_ask("a")],
-        runs={"a": [_run("a")]},
-        hits=[(100.04, "a", "exports-0")],
+        requests=[_ask("a")],
+        executions={"a": [_run("a")]},
+        arrivals=[(100.04, "a", "exports-0")],
         owners={"exports-0": "exports", "pages-0": "pages", **{f"b{n}-0": f"b{n}" for n in range(4)}},
         left={"exports-1": 90.0},
         puts=[_put(1, 90.0), _put(2, 95.0)],
-        gots=[observations.Got(96.0, 96.1, 200, 2, _doc("b2"))],
+        reads=[observations.LayoutRead(96.0, 96.1, 200, 2, _doc("b2"))],
         samples=[_sample(96.0, 1), _sample(97.5, 2), _sample(98.0, 2, boot=2)],
-        calm=95.0,
+        faults_ended_at=95.0,
         end=120.0,
     )
     # The older layout shows for a while by another proxy, and not after by the same.
@@ -65,66 +65,66 @@
 
 
 def _twice(story: histories.History) -> None:
-    story.runs["a"].append(_run("a", "exports-1"))
+    story.executions["a"].append(_run("a", "exports-1"))
 
 
 def _twice_begun(story: histories.History) -> None:
     # The first endpoint ended amid its work.
-    story.starts["a"] = [_run("a"), _run("a", "exports-1")]
+    story.execution_starts["a"] = [_run("a"), _run("a", "exports-1")]
 
 
 def _refused_by_code(story: histories.History) -> None:
     # No hint, and all the same the code says that it did not run.
-    story.asks[0].status, story.asks[0].result = 503, 104
+    story.requests[0].status, story.requests[0].result = 503, 104
 
 
 def _refused_by_promise(story: histories.History) -> None:
-    story.asks[0].status, story.asks[0].promised = 503, True
+    story.requests[0].status, story.requests[0].promised = 503, True
 
 
 def _refused_by_status(story: histories.History) -> None:
     # Its caller takes a 503 for a promise, and the work had only begun.
-    story.asks[0].status, story.asks[0].trusts = 503, True
-    story.starts["a"] = story.runs.pop("a")
+    story.requests[0].status, story.requests[0].trusts_refusal = 503, True
+    story.execution_starts["a"] = story.executions.pop("a")
 
 
 def _of_another(story: histories.History) -> None:
-    story.asks[0].status, story.asks[0].others = 404, "echoes b"
+    story.requests[0].status, story.requests[0].foreign_id = 404, "echoes b"
 
 
 def _nobody_asked(story: histories.History) -> None:
-    story.starts["z"] = [_run("z")]
+    story.execution_starts["z"] = [_run("z")]
 
 
 def _nobody_sent(story: histories.History) -> None:
-    story.hits.append((100.2, "z", "exports-0"))
+    story.arrivals.append((100.2, "z", "exports-0"))
 
 
 def _changed_on_its_way(story: histories.History) -> None:
-    story.asks[0].said = callers.words("POST", "/exports/x?ask=a", b"{}")
-    story.runs["a"][0].said = callers.words("POST", "/exports/x?ask=a", b"[]")
+    story.requests[0].content = clients.content_of("POST", "/exports/x?ask=a", b"{}")
+    story.executions["a"][0].content = clients.content_of("POST", "/exports/x?ask=a", b"[]")
 
 
 def _not_sealed(story: histories.History) -> None:
-    next(iter(story.roves.values())).wrong = "not as it was sealed"
+    next(iter(story.route_checks.values())).mismatch = "not as it was sealed"
 
 
 def _extra_turned(story: histories.History) -> None:
     # They ran nowhere, and came all the same.
-    story.turned += [(100.0 + n / 100, "a", "exports-0") for n in range(62)]
+    story.misdirected += [(100.0 + n / 100, "a", "exports-0") for n in range(62)]
 
 
 def _late_by_its_own(story: histories.History) -> None:
-    story.asks[0].expiry_s, story.asks[0].ended = 1.0, 102.0
+    story.requests[0].expiry_s, story.requests[0].ended_at = 1.0, 102.0
 
 
 def _told(story: histories.History) -> None:
-    story.asks[0].status, story.asks[0].result, story.asks[0].retry_after = 503, 111, True
+    story.requests[0].status, story.requests[0].result, story.requests[0].retry_after = 503, 111, True
 
 
 def _told_by_endpoint(story: histories.History) -> None:
     # The endpoint ran it, and bids the caller come again in its own words.
-    story.asks[0].status, story.asks[0].retry_after = 503, True
+    story.requests[0].status, story.requests[0].retry_after = 503, True
 
 
 def _old_rule(story: histories.History) -> None:
@@ -151,8 +151,10 @@
         rule = {"path": "/rove", "service": "b2", **change}
         story.puts.append(_put(3, 97.0, body=json.dumps({"rules": [rule]})))
         _rove(story, 96.5, "b2")
-        name = list(story.roves)[-1]
-        story.starts[name] = [callers.Run(name, f"b2-{n}", "b2", at) for n, at in enumerate((96.5, 99.5))]
+        name = list(story.route_checks)[-1]
+        story.execution_starts[name] = [
+            clients.Execution(name, f"b2-{n}", "b2", at) for n, at in enumerate((96.5, 99.5))
+        ]
 
     return break_it
 
@@ -162,12 +164,12 @@
 
 
 def _connection_broke(story: histories.History) -> None:
-    story.asks.append(_ask("b", status=0, flaw="ConnectionResetError"))
+    story.requests.append(_ask("b", status=0, error="ConnectionResetError"))
 
 
 def _all_excused(story: histories.History) -> None:
     story.gone.append(histories.Span("p", 99.0, 103.0))
-    story.asks += [_ask(f"g{n}", status=0, flaw="ConnectionResetError") for n in range(3)]
+    story.requests += [_ask(f"g{n}", status=0, error="ConnectionResetError") for n in range(3)]
 
 
 def _leak(story: histories.History) -> None:
@@ -175,15 +177,15 @@
 
 
 def _other_reply(story: histories.History) -> None:
-    story.asks[0].wrong = "someone else's"
+    story.requests[0].mismatch = "someone else's"
 
 
 def _other_owner(story: histories.History) -> None:
-    story.hits.append((100.04, "a", "pages-0"))
+    story.arrivals.append((100.04, "a", "pages-0"))
 
 
 def _after_leaving(story: histories.History) -> None:
-    story.hits.append((92.5, "a", "exports-1"))
+    story.arrivals.append((92.5, "a", "exports-1"))
 
 
 def _while_paused(story: histories.History) -> None:
@@ -200,11 +202,11 @@
 
 
 def _stale_read(story: histories.History) -> None:
-    story.gots.append(observations.Got(97.0, 97.1, 200, 1, _doc("b1")))
+    story.reads.append(observations.LayoutRead(97.0, 97.1, 200, 1, _doc("b1")))
 
 
 def _none_read(story: histories.History) -> None:
-    story.gots.append(observations.Got(97.0, 97.1, 404))
+    story.reads.append(observations.LayoutRead(97.0, 97.1, 404))
 
 
 def _lost_layout(story: histories.History) -> None:
@@ -213,7 +215,7 @@
 
 def _refused_stands(story: histories.History) -> None:
     story.puts.append(_put(0, 99.0, body=_doc("never"), status=412))
-    story.gots.append(observations.Got(99.5, 99.6, 200, 3, _doc("never")))
+    story.reads.append(observations.LayoutRead(99.5, 99.6, 200, 3, _doc("never")))
 
 
 def _broken_taken(story: histories.History) -> None:
@@ -226,24 +228,24 @@
 
 
 def _many_extra(story: histories.History) -> None:
-    story.hits += [(100.0 + n / 100, "a", "exports-0") for n in range(62)]
+    story.arrivals += [(100.0 + n / 100, "a", "exports-0") for n in range(62)]
 
 
 def _dropped(story: histories.History) -> None:
-    story.asks.append(_ask("b", status=0, flaw="ConnectionResetError"))
+    story.requests.append(_ask("b", status=0, error="ConnectionResetError"))
     story.stops.append(histories.Span("p", 99.0, 103.0))
 
 
 def _turned_away(story: histories.History) -> None:
-    story.asks += [_ask(f"t{n}", status=503, result=103) for n in range(6)]
+    story.requests += [_ask(f"t{n}", status=503, result=103) for n in range(6)]
 
 
 def _not_recovered(story: histories.History) -> None:
-    story.asks.append(_ask("late", begun=110.5, ended=110.6, status=502, result=108))
+    story.requests.append(_ask("late", started_at=110.5, ended_at=110.6, status=502, result=108))
 
 
 def _too_late(story: histories.History) -> None:
-    story.asks[0].ended = 111.0
+    story.requests[0].ended_at = 111.0
 
 
 def _crash(story: histories.History) -> None:
@@ -256,7 +258,7 @@
 
 
 def _another_body_read(story: histories.History) -> None:
-    story.gots.append(observations.Got(97.0, 97.1, 200, 2, _doc("b1")))
+    story.reads.append(observations.LayoutRead(97.0, 97.1, 200, 2, _doc("b1")))
 
 
 def _refused_when_sent_again(story: histories.History) -> None:
@@ -266,7 +268,7 @@
 def _lost_then_refused(story: histories.History) -> None:
     # The first answer was lost, and a read shows that the order was taken.
     story.puts += [_put(0, 96.0, body=_doc("b3"), match=2, status=0)]
-    story.gots.append(observations.Got(96.2, 96.3, 200, 3, _doc("b3")))
+    story.reads.append(observations.LayoutRead(96.2, 96.3, 200, 3, _doc("b3")))
     story.puts += [_put(0, 97.0, body=_doc("b3"), match=2, status=409)]
 
 
@@ -277,37 +279,37 @@
 
 
 def _lags_at_the_end(story: histories.History) -> None:
-    story.read_back = [observations.Got(119.0, 119.1, 200, 1, _doc("b1"))]
+    story.read_back = [observations.LayoutRead(119.0, 119.1, 200, 1, _doc("b1"))]
 
 
 def _silent_at_the_end(story: histories.History) -> None:
-    story.read_back = [observations.Got(119.0, 119.1, 503)]
+    story.read_back = [observations.LayoutRead(119.0, 119.1, 503)]
 
 
 def _goes_on(writing: bool) -> typing.Callable[[histories.History], None]:
     """A request that reaches an endpoint, and is worked on, after its caller left."""
 
     def change(story: histories.History) -> None:
-        ask = callers.Ask("left", "exports", writing, 100.0, "p", 100.1, left_at=100.1)
-        story.asks.append(ask)
-        story.hits += [(100.05, "left", "exports-0"), (100.7, "left", "exports-0")]
-        story.runs["left"] = [callers.Run("left", "exports-0", "exports", 100.7)]
+        ask = clients.Request("left", "exports", writing, 100.0, "p", 100.1, left_at=100.1)
+        story.requests.append(ask)
+        story.arrivals += [(100.05, "left", "exports-0"), (100.7, "left", "exports-0")]
+        story.executions["left"] = [clients.Execution("left", "exports-0", "exports", 100.7)]
 
     return change
 
 
 def _many_endpoints(story: histories.History) -> None:
-    story.asks.append(callers.Ask("many", "pages", False, 100.0, "p", 100.1, status=200))
-    story.starts["many"] = [_run("many", f"pages-{n}", "pages") for n in range(4)]
+    story.requests.append(clients.Request("many", "pages", False, 100.0, "p", 100.1, status=200))
+    story.execution_starts["many"] = [_run("many", f"pages-{n}", "pages") for n in range(4)]
 
 
 def _time_added(story: histories.History) -> None:
-    story.handed = [observations.Handed(100.0, "a", story.expiry_s + 0.6, False)]
+    story.time_budgets = [observations.TimeBudget(100.0, "a", story.expiry_s + 0.6, False)]
 
 
 def _time_begun_anew(story: histories.History) -> None:
     """A second attempt with all of the time again."""
-    story.handed = [observations.Handed(at, "a", story.expiry_s, True) for at in (100.0, 100.6)]
+    story.time_budgets = [observations.TimeBudget(at, "a", story.expiry_s, True) for at in (100.0, 100.6)]
 
 
 BREAKS: typing.Final[dict[str, list[typing.Callable[[histories.History], None]]]] = {
@@ -359,10 +361,10 @@
 
 def test_a_refusal_by_status_alone_is_none_to_callers_who_do_not_ask_anew() -> None:
     story = sound()
-    story.asks[0].status = 503
+    story.requests[0].status = 503
     assert histories.judge(story) == {}
     # And no check holds a read that failed against what it did before.
-    story.asks[0].writing, story.asks[0].trusts = False, True
+    story.requests[0].writing, story.requests[0].trusts_refusal = False, True
     assert histories.judge(story) == {}
 
 
@@ -374,7 +376,7 @@
     story.samples = [_sample(at, version) for at, version in ((96.5, 2), (98.5, 4), (99.5, 4))]
     assert histories.judge(story) == {}
     # The same version told to a read would be one that goes back.
-    story.gots.append(observations.Got(97.5, 97.6, 200, 3, _doc("b3")))
+    story.reads.append(observations.LayoutRead(97.5, 97.6, 200, 3, _doc("b3")))
     assert set(histories.judge(story)) == {"register_holds"}
 
 
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -14,14 +14,16 @@
 import dykeswitch.settings as settings
 
 SCOPE: typing.Final = {"type": "http", "method": "POST", "path": "/", "headers": []}
-BOUNDS: typing.Final = settings.Settings(name="p", zone="z", body_most=100, bodies_most=1000)
+CONFIG: typing.Final = settings.Settings(name="p", zone="z", body_most=100, bodies_most=1000)
 
 
 def _intake(**limits: int) -> intakes.Intake:
     doc = {"services": {"s": {}}, "rules": [{"path": "/", "service": "s"}], "bounds": limits}
     checked = layouts.check(doc)
-    assert isinstance(checked, outcome.Good)
-    return intakes.Intake(BOUNDS, real.RealClock(), random.Random(1), adapters.Own(), lambda: checked.value)
+    assert isinstance(checked, outcome.Success)
+    return intakes.Intake(
+        CONFIG, real.RealClock(), random.Random(1), adapters.DefaultAdapter(), lambda: checked.value
+    )
 
 
 async def _send(message: ports.Message) -> None:
@@ -43,9 +45,9 @@
 
 async def _read(intake: intakes.Intake, size: int) -> tuple[exchanges.Exchange, str]:
     """Read a body; what is wrong with it, if anything."""
-    x = intake.exchange(dict(SCOPE), _send)
-    bad = await intake.read(x, _receiving(b"x" * size))
-    return x, bad.code.tag if bad is not None else ""
+    exchange = intake.exchange(dict(SCOPE), _send)
+    failure = await intake.read(exchange, _receiving(b"x" * size))
+    return exchange, failure.code.tag if failure is not None else ""
 
 
 def test_a_body_may_be_as_large_as_the_layout_says_and_the_settings_hold_where_it_says_nothing() -> None:
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("text", TAKEN)
 def test_a_sentence_is_understood(text: str, snapshot: syrupy.assertion.SnapshotAssertion) -> None:
     result = language.parse(text)
-    assert isinstance(result, outcome.Good), result
+    assert isinstance(result, outcome.Success), result
     assert repr(result.value) == snapshot
 
 
@@ -44,6 +44,6 @@
     text: str, snapshot: syrupy.assertion.SnapshotAssertion
 ) -> None:
     result = language.parse(text)
-    assert isinstance(result, outcome.Bad)
+    assert isinstance(result, outcome.Failure)
     assert result.code.tag == "bad_query"
-    assert result.why == snapshot
+    assert result.detail == snapshot
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -13,7 +13,7 @@
 import dykeswitch.outcome as outcome
 import dykeswitch.simulator.loop as loops
 import dykeswitch.simulator.world as worlds
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 
 def _large(rules: int) -> bytes:
@@ -35,9 +35,9 @@
         task = asyncio.create_task(other())
         await asyncio.sleep(0)
         data = _large(20_000)
-        result = await layouts.read_gently(data) if gently else layouts.read(data)
+        result = await layouts.read_cooperatively(data) if gently else layouts.read(data)
         task.cancel()
-        assert isinstance(result, outcome.Good)
+        assert isinstance(result, outcome.Success)
         assert len(result.value.rules) == 20_000
         # One turn for each stretch of rules, and none where it is read in one go.
         assert (turns > 20_000 / layouts.RULES_PER_TURN) is gently
@@ -51,20 +51,20 @@
     async def main() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, loops.VirtualLoop)
-        line = timeline.Timeline("p", worlds.SimClock(loop), 900.0)
+        timeline = timelines.Timeline("p", worlds.SimClock(loop), 900.0)
         took: list[int] = []
 
-        async def reads(name: str, version: int, data: bytes) -> documents.Take | None:
+        async def reads(name: str, version: int, data: bytes) -> documents.Apply | None:
             await asyncio.sleep(float(data))
             return lambda: took.append(version)
 
-        caller = frames.Caller(typing.cast(typing.Any, None))
-        held = documents.Documents(line, caller, 1.0, reads)
+        call_client = frames.CallClient(typing.cast(typing.Any, None))
+        held = documents.Documents(timeline, call_client, 1.0, reads)
         done = await asyncio.gather(
-            held.take(documents.LAYOUT, 3, b"0.1"),
-            held.take(documents.LAYOUT, 2, b"5"),
-            held.take(documents.LAYOUT, 4, b"1"),
-            held.take(documents.LAYOUT, 4, b"1"),
+            held.apply(documents.LAYOUT, 3, b"0.1"),
+            held.apply(documents.LAYOUT, 2, b"5"),
+            held.apply(documents.LAYOUT, 4, b"1"),
+            held.apply(documents.LAYOUT, 4, b"1"),
         )
         assert list(done) == [True, False, True, False]
         assert took == [3, 4]
@@ -81,7 +81,7 @@
 
 def test_a_rule_split_over_services_is_drawn_by_weight() -> None:
     result = layouts.check(_split())
-    assert isinstance(result, outcome.Good)
+    assert isinstance(result, outcome.Success)
     [rule] = result.value.rules
     assert rule.services() == ("a", "b")
     rng = random.Random(1)
@@ -103,14 +103,14 @@
 )
 def test_faults_of_a_split_rule(more: dict[str, object], fault: str) -> None:
     result = layouts.check(_split(**more))
-    assert isinstance(result, outcome.Bad)
+    assert isinstance(result, outcome.Failure)
     assert any(text.startswith(fault) for text in result.faults), result.faults
 
 
 def test_two_rules_for_the_same_requests_are_a_fault_unless_the_first_is_to_have_them() -> None:
     rules = [{"path": "/", "service": "a"}, {"path": "/", "service": "b"}]
     doc = {"services": {"a": {}, "b": {}}, "rules": rules}
-    assert isinstance(layouts.check(doc), outcome.Bad)
+    assert isinstance(layouts.check(doc), outcome.Failure)
     result = layouts.check({**doc, "doubles": "first"})
-    assert isinstance(result, outcome.Good)
+    assert isinstance(result, outcome.Success)
     assert [rule.service for rule in result.value.rules] == ["a"]
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -26,13 +26,13 @@
 import dykeswitch.settings as settings
 import dykeswitch.simulator.loop as loops
 import dykeswitch.simulator.world as worlds
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 import dykeswitch.timeline.slots as slots
 
 FLOOR: typing.Final = 20
 # What is lent of it; nothing here is on the wire as a window begins.
 LENT: typing.Final = 19
-BOUNDS: typing.Final = settings.Settings(extra_floor=FLOOR)
+CONFIG: typing.Final = settings.Settings(extra_floor=FLOOR)
 SERVICE: typing.Final = "pages"
 
 
@@ -40,7 +40,7 @@
     """A register of one value, out of reach for those that are apart."""
 
     def __init__(self) -> None:
-        self.value = register.BLANK
+        self.value = register.INITIAL_VALUE
         self.apart: set[str] = set()
 
 
@@ -53,17 +53,17 @@
         self._clock = clock
         self._rng = rng
 
-    async def read(self, key: str) -> outcome.Good[register.Value] | outcome.Bad:
+    async def read(self, key: str) -> outcome.Success[register.Value] | outcome.Failure:
         return await self.change(key, lambda now: now)
 
-    async def change(self, key: str, step: typing.Any) -> outcome.Good[register.Value] | outcome.Bad:
+    async def change(self, key: str, step: typing.Any) -> outcome.Success[register.Value] | outcome.Failure:
         await self._clock.sleep(self._rng.uniform(0.001, 0.2))
         if self._name in self._stone.apart:
             await self._clock.sleep(1.0)
-            return outcome.bad("no_majority")
+            return outcome.failure("no_majority")
         self._stone.value = seen = step(self._stone.value)
         await self._clock.sleep(self._rng.uniform(0.001, 0.2))
-        return outcome.Good(seen)
+        return outcome.Success(seen)
 
 
 class _Registry:
@@ -76,27 +76,27 @@
         self._address = address
         self._machine = machine
         self.name = name
-        self.boot = f"{rng.getrandbits(32):08x}"
-        self.line = timeline.Timeline(name, machine.clock, BOUNDS.forget_s)
+        self.boot_id = f"{rng.getrandbits(32):08x}"
+        self.timeline = timelines.Timeline(name, machine.clock, CONFIG.forget_s)
         hand: typing.Any = _Hand(town.stone, name, machine.clock, rng)
-        self.duties = duties.Duties(name, self.boot, BOUNDS, self.line, hand)
-        self.lender = lenders.Lender(BOUNDS, machine.clock, self.duties)
+        self.duties = duties.Duties(name, self.boot_id, CONFIG, self.timeline, hand)
+        self.lender = lenders.Lender(CONFIG, machine.clock, self.duties)
 
     async def run(self) -> None:
-        ear = frames.Ear(self.lender.kinds(), lambda event, what: None)
-        await self._machine.net.listen(self._address, ear.serve)
+        server = frames.CallServer(self.lender.kinds(), lambda event, what: None)
+        await self._machine.net.listen(self._address, server.serve)
         async with asyncio.TaskGroup() as group:
             group.create_task(self._beat())
             while True:
-                await self._machine.clock.sleep(BOUNDS.dead_s / 2)
-                await self.duties.tend(sorted({self.name, *_cores(self.line)}))
-                self.lender.tidy()
+                await self._machine.clock.sleep(CONFIG.dead_after_s / 2)
+                await self.duties.reconcile(sorted({self.name, *_cores(self.timeline)}))
+                self.lender.remove_expired()
 
     async def _beat(self) -> None:
-        fields = dict.fromkeys(("spot", "web", "store"), self._address) | {"zone": "z", "boot": self.boot}
+        fields = dict.fromkeys(("spot", "web", "store"), self._address) | {"zone": "z", "boot": self.boot_id}
         while True:
-            self.line.write(timeline.CORE, self.name, dict(fields), BOUNDS.dead_s)
-            await self._machine.clock.sleep(BOUNDS.dead_s / 6)
+            self.timeline.write(timelines.CORE, self.name, dict(fields), CONFIG.dead_after_s)
+            await self._machine.clock.sleep(CONFIG.dead_after_s / 6)
 
     def stop(self) -> None:
         return None
@@ -110,20 +110,20 @@
         self._clock = machine.clock
         self._rng = rng
         self._over = asyncio.Event()
-        self.line = timeline.Timeline(name, machine.clock, BOUNDS.forget_s)
+        self.timeline = timelines.Timeline(name, machine.clock, CONFIG.forget_s)
         self.budgets: dict[str, budgets.Budget] = {}
         self.borrower = borrowers.Borrower(
             name,
             f"{rng.getrandbits(48):012x}",
-            BOUNDS,
-            self.line,
-            frames.Caller(machine.net),
-            lambda: _cores(self.line),
+            CONFIG,
+            self.timeline,
+            frames.CallClient(machine.net),
+            lambda: _cores(self.timeline),
             lambda: self.budgets,
         )
 
     async def run(self) -> None:
-        budget = self.budgets[SERVICE] = budgets.Budget(BOUNDS, self.borrower.since)
+        budget = self.budgets[SERVICE] = budgets.Budget(CONFIG, self.borrower.since)
         async with asyncio.TaskGroup() as group:
             tasks = [group.create_task(self.borrower.run()), group.create_task(self._live(budget))]
             await self._over.wait()
@@ -146,8 +146,8 @@
         self._over.set()
 
 
-def _cores(line: timeline.Timeline) -> dict[str, ports.Address]:
-    return {e.key: ports.address_of(e.fields["spot"]) for e in line.all(timeline.CORE)}
+def _cores(timeline: timelines.Timeline) -> dict[str, ports.Address]:
+    return {e.key: ports.address_of(e.fields["spot"]) for e in timeline.all(timelines.CORE)}
 
 
 class Town:
@@ -185,20 +185,20 @@
             await asyncio.sleep(0.25)
             nodes = [n for n in self.world.nodes.values() if n.up and n.daemon and not n.host.frozen]
             for one in nodes:
-                told = one.daemon.line.wire_since(0)
+                told = one.daemon.timeline.entries_since(0)
                 for two in nodes:
-                    if one is not two and self.world.wires.both(one.name, two.name):
-                        two.daemon.line.merge(told)
+                    if one is not two and self.world.links.both(one.name, two.name):
+                        two.daemon.timeline.merge(told)
 
     def most_over(self) -> float:
         """The most by which extra go's of any window went beyond the share of its requests."""
         spent, asked = sorted(self.spent), sorted(self.asked)
         most = 0.0
         for first in spent:
-            for low, high in ((first, first + BOUNDS.extra_window_s), (first - BOUNDS.extra_window_s, first)):
+            for low, high in ((first, first + CONFIG.extra_window_s), (first - CONFIG.extra_window_s, first)):
                 many = bisect.bisect_right(spent, high) - bisect.bisect_left(spent, low)
                 base = bisect.bisect_right(asked, high) - bisect.bisect_left(asked, low)
-                most = max(most, many - BOUNDS.extra_share * base)
+                most = max(most, many - CONFIG.extra_share * base)
         return most
 
 
@@ -246,12 +246,12 @@
     one = _of(town.registries, which).name
     town.stone.apart.add(one)
     others = [n.name for n in town.registries if n.name != one]
-    town.world.wires.cut([one], others)
+    town.world.links.cut([one], others)
 
     def undo() -> None:
         town.stone.apart.discard(one)
         for other in others:
-            town.world.wires.cuts -= {(one, other), (other, one)}
+            town.world.links.cuts -= {(one, other), (other, one)}
 
     return undo
 
@@ -261,22 +261,22 @@
     here = [_of(town.registries, which).name, *(n.name for n in town.proxies[which % 2 :: 2])]
     there = [name for name in town.world.nodes if name not in here]
     town.stone.apart.add(here[0])
-    town.world.wires.cut(here, there)
+    town.world.links.cut(here, there)
 
     def undo() -> None:
         town.stone.apart.discard(here[0])
-        town.world.wires.heal()
+        town.world.links.heal()
 
     return undo
 
 
 def _cut(town: Town, which: int) -> Undo:
     one, two = _of(town.proxies, which).name, _of(town.registries, which // 7).name
-    town.world.wires.cut([one], [two])
+    town.world.links.cut([one], [two])
 
     def undo() -> None:
-        town.world.wires.cuts -= {(one, two), (two, one)}
-        for connection in list(town.world.wires.connections):
+        town.world.links.cuts -= {(one, two), (two, one)}
+        for connection in list(town.world.links.connections):
             connection.pump()
 
     return undo
@@ -284,10 +284,10 @@
 
 def _slow(town: Town, which: int) -> Undo:
     name = _of([*town.registries, *town.proxies], which).name
-    town.world.wires.slow[name] = 0.45
+    town.world.links.slow[name] = 0.45
 
     def undo() -> None:
-        town.world.wires.slow.pop(name, None)
+        town.world.links.slow.pop(name, None)
 
     return undo
 
@@ -339,7 +339,7 @@
             await asyncio.sleep(span)
             for task in tasks:
                 task.cancel()
-        flaws = [node.flaw for node in town.world.nodes.values() if node.flaw]
+        flaws = [node.crash for node in town.world.nodes.values() if node.crash]
         assert not flaws
         return town
 
@@ -352,7 +352,7 @@
     assert town.most_over() <= LENT
     # The floor is really there to be used, and soon after the start.
     assert town.most_over() > LENT * 0.8
-    assert min(town.spent) - 1000.0 < BOUNDS.dead_s
+    assert min(town.spent) - 1000.0 < CONFIG.dead_after_s
 
 
 @hypothesis.settings(
@@ -387,26 +387,26 @@
 
 
 def _sure_for_ever(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(settings.Settings, "fence_s", property(lambda self: 1e9))
+    patch.setattr(settings.Settings, "fence_max_age_s", property(lambda self: 1e9))
     # Only the old proof: a new lender waits as long as it would.
-    patch.setattr(settings.Settings, "inherit_s", property(lambda self: 21.5))
+    patch.setattr(settings.Settings, "takeover_wait_s", property(lambda self: 21.5))
 
 
 def _counts_from_the_answer(patch: pytest.MonkeyPatch) -> None:
     settle = borrowers.Borrower._settle
 
     def late(self: borrowers.Borrower, wish: typing.Any, budget: typing.Any, coins: int, end: float) -> None:
-        settle(self, wish, budget, coins, self._clock.now() + self._bounds.loan_s)
+        settle(self, wish, budget, coins, self._clock.now() + self._config.loan_duration_s)
 
     patch.setattr(borrowers.Borrower, "_settle", late)
 
 
 def _spent_is_over_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(settings.Settings, "lapse_s", property(lambda self: 0.0))
+    patch.setattr(settings.Settings, "loan_lapse_s", property(lambda self: 0.0))
 
 
 def _spent_comes_back_soon(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(settings.Settings, "spent_s", property(lambda self: self.extra_window_s / 2))
+    patch.setattr(settings.Settings, "attempt_counts_s", property(lambda self: self.extra_window_s / 2))
 
 
 def _forgets_what_it_owes(patch: pytest.MonkeyPatch) -> None:
@@ -487,7 +487,7 @@
         self.duty = _Sure(fence, self.time.at)
         duty: typing.Any = self.duty
         clock: typing.Any = self.time
-        self.lender = lenders.Lender(BOUNDS, clock, duty)
+        self.lender = lenders.Lender(CONFIG, clock, duty)
         self._turns: dict[str, int] = {}
 
     def ask(
@@ -524,7 +524,7 @@
     assert desk.ask("b", 9, lent=5) == 6
     assert desk.ask("b", 9, lent=6) == 6
     # The coin that was spent is free when no window can hold it any more.
-    desk.time.at += BOUNDS.loan_s + BOUNDS.lapse_s + 0.01
+    desk.time.at += CONFIG.loan_duration_s + CONFIG.loan_lapse_s + 0.01
     assert desk.ask("c", 9) == 4
 
 
@@ -544,7 +544,7 @@
     assert desk.ask("b", 9) == 0
     # What ran out meanwhile is not lent again, even to who still owes it.
     assert desk.ask("c", 9, lent=0, bound=2) == 0
-    desk.time.at += BOUNDS.inherit_s - 0.01
+    desk.time.at += CONFIG.takeover_wait_s - 0.01
     assert desk.ask("b", 9) == 0
     desk.time.at += 0.02
     assert desk.ask("b", 9) > 0
@@ -588,26 +588,26 @@
 
         async def borrow(body: frames.Body) -> frames.Result:
             asked.append(body)
-            return outcome.bad("no_majority")
+            return outcome.failure("no_majority")
 
-        ear = frames.Ear({"borrow": borrow}, lambda event, what: None)
-        await world.machine_for("core0").net.listen(address, ear.serve)
-        line = timeline.Timeline("proxy0", machine.clock, BOUNDS.forget_s)
+        server = frames.CallServer({"borrow": borrow}, lambda event, what: None)
+        await world.machine_for("core0").net.listen(address, server.serve)
+        timeline = timelines.Timeline("proxy0", machine.clock, CONFIG.forget_s)
         for part in range(slots.PARTS):
             key = str(slots.lend_slot(SERVICE, part))
-            line.write(timeline.FENCE, key, {"owner": "core0/1", "fence": 1}, 60.0)
+            timeline.write(timelines.FENCE, key, {"owner": "core0/1", "fence": 1}, 60.0)
         known = [{"core0": address}]
         budget: dict[str, budgets.Budget] = {}
         borrower = borrowers.Borrower(
             "proxy0",
             "1",
-            BOUNDS,
-            line,
-            frames.Caller(machine.net),
+            CONFIG,
+            timeline,
+            frames.CallClient(machine.net),
             lambda: known.pop() if known else {},
             lambda: budget,
         )
-        budget[SERVICE] = budgets.Budget(BOUNDS, borrower.since)
+        budget[SERVICE] = budgets.Budget(CONFIG, borrower.since)
         budget[SERVICE].request()
         running = asyncio.create_task(borrower.run())
         await asyncio.sleep(2.0)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -17,7 +17,7 @@
     def wall(self) -> float:
         return 1_800_000_000.25
 
-    async def sleep(self, span: float) -> None:
+    async def sleep(self, duration_s: float) -> None:
         return None
 
 
--- a/tests/test_long_failures.py
+++ b/tests/test_long_failures.py
@@ -34,7 +34,7 @@
         answer = await stage.ask(coins=0 if why == "no coins" else 50)
         assert (answer.status, len(answer.body)) == (500, len(BODY))
         assert answer.body == BODY.encode()
-        assert dict(answer.heads)[b"content-length"] == str(len(BODY)).encode()
+        assert dict(answer.headers)[b"content-length"] == str(len(BODY)).encode()
         assert sum(len(endpoint.requests) for endpoint in endpoints) == 1
 
     scripted.play(work)
@@ -77,7 +77,7 @@
         asyncio.get_running_loop().call_later(between.AMID_THE_FIRST_S, become_unreachable)
         answer = await stage.ask()
         assert answer.status == 502
-        assert any(key == b"dykeswitch-result" for key, _ in answer.heads)
+        assert any(key == b"dykeswitch-result" for key, _ in answer.headers)
 
     scripted.play(work)
 
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -73,13 +73,13 @@
         group = tuple(sorted((voter.disk_id, address) for address, voter in self.voters.items()))
         members = register.MemberSet(1, (group,))
         for voter in self.voters.values():
-            result = await voter.kinds()["install"]({"set": members.wire(), "disk": voter.disk_id})
-            assert isinstance(result, outcome.Good)
+            result = await voter.kinds()["install"]({"set": members.to_wire(), "disk": voter.disk_id})
+            assert isinstance(result, outcome.Success)
         proposer = proposers.Proposer(
             "p",
-            typing.cast(frames.Caller, self),
+            typing.cast(frames.CallClient, self),
             worlds.SimClock(typing.cast(loops.VirtualLoop, asyncio.get_running_loop())),
-            ports.NoPoints(),
+            ports.NoFaultPoints(),
             WAIT_S,
             random.Random(1),
         )
@@ -90,19 +90,19 @@
     def address(number: int) -> str:
         return f"10.0.0.{number + 1}:1"
 
-    async def ask(self, address: str, kind: str, body: frames.Body, wait: float) -> frames.Result:
+    async def call(self, address: str, kind: str, body: frames.Body, timeout_s: float) -> frames.Result:
         return await self.voters[address].kinds()[kind](body)
 
 
 async def _open(disk: disks.SimDisk) -> voters.Voter:
-    voter = voters.Voter(disk, ports.NoPoints(), random.Random(str(disk.root)))
+    voter = voters.Voter(disk, ports.NoFaultPoints(), random.Random(str(disk.root)))
     await voter.open()
     return voter
 
 
 def _put(change: int) -> proposers.Step:
     def step(now: register.Value) -> register.Value:
-        return now.next(_layout(change), f"op-{change}")
+        return now.successor(_layout(change), f"op-{change}")
 
     return step
 
@@ -114,7 +114,7 @@
     bytes_before, syncs_before = disk.synced_bytes, disk.syncs
     for change in range(changes):
         result = await proposer.change("layout", _put(change))
-        assert isinstance(result, outcome.Good)
+        assert isinstance(result, outcome.Success)
         # The straggler of each call ends before the next change.
         await asyncio.sleep(0)
     await asyncio.sleep(WAIT_S)
@@ -129,9 +129,9 @@
     gc.collect()
     memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    seat = voter._seats["layout"]
-    assert (seat.value.version, seat.value.body) == (changes, _layout(changes - 1))
-    assert len(seat.value.ops) <= register.OPS_KEPT
+    key_state = voter._key_states["layout"]
+    assert (key_state.value.version, key_state.value.body) == (changes, _layout(changes - 1))
+    assert len(key_state.value.ops) <= register.MAX_OPS
     return Cost(changes, written / changes, syncs / changes, len(files), on_disk, woken.syncs, memory)
 
 
@@ -159,7 +159,7 @@
 
 def test_one_generation_of_a_key_is_left_at_any_time(tmp_path: pathlib.Path) -> None:
     disk = disks.SimDisk(tmp_path, random.Random(1))
-    opened = storage.Storage(disk, ports.NoPoints())
+    opened = storage.Storage(disk, ports.NoFaultPoints())
     opened.open()
     for number in range(300):
         opened.put("k", number)
@@ -176,24 +176,24 @@
     async def main() -> None:
         stores = Stores(tmp_path)
         proposer = await stores.start()
-        assert isinstance(await proposer.change("layout", _put(0)), outcome.Good)
+        assert isinstance(await proposer.change("layout", _put(0)), outcome.Success)
         away = stores.address(2)
         voter = stores.voters.pop(away)
 
-        async def ask(address: str, kind: str, body: frames.Body, wait: float) -> frames.Result:
+        async def call(address: str, kind: str, body: frames.Body, timeout_s: float) -> frames.Result:
             if address not in stores.voters:
-                return outcome.bad("no_reply", address)
+                return outcome.failure("no_reply", address)
             return await stores.voters[address].kinds()[kind](body)
 
-        proposer.quorum._caller.ask = ask  # type: ignore[method-assign]
+        proposer.quorum._call_client.call = call  # type: ignore[method-assign]
         for change in range(1, changes + 1):
-            assert isinstance(await proposer.change("layout", _put(change)), outcome.Good)
+            assert isinstance(await proposer.change("layout", _put(change)), outcome.Success)
         stores.voters[away] = voter
         disk = stores.disks[2]
         syncs = disk.syncs
-        assert await proposer.sweep_copies() == 1
+        assert await proposer.repair_copies() == 1
         await asyncio.sleep(WAIT_S)
-        assert voter._seats["layout"].value.version == changes + 1
+        assert voter._key_states["layout"].value.version == changes + 1
         # The acceptance that it missed, sent once more: one write of three files and two folders.
         assert disk.syncs - syncs == 5
 
@@ -247,9 +247,13 @@
 
 def _current(fleet: fleets.SimFleet) -> bool:
     daemons = [core.store.daemon for core in fleet.cores]
-    if any(daemon is None or not daemon.voter.seated() for daemon in daemons):
+    if any(daemon is None or not daemon.voter.has_vote() for daemon in daemons):
         return False
-    if any(daemon.voter.members.joint() for daemon in daemons):
+    if any(daemon.voter.members.is_joint() for daemon in daemons):
         return False
-    ballots = {daemon.voter._seats["layout"].ballot for daemon in daemons if "layout" in daemon.voter._seats}
-    return len(ballots) == 1 and all("layout" in daemon.voter._seats for daemon in daemons)
+    ballots = {
+        daemon.voter._key_states["layout"].ballot
+        for daemon in daemons
+        if "layout" in daemon.voter._key_states
+    }
+    return len(ballots) == 1 and all("layout" in daemon.voter._key_states for daemon in daemons)
--- a/tests/test_odd_replies.py
+++ b/tests/test_odd_replies.py
@@ -103,7 +103,7 @@
     def __init__(self, data: bytes) -> None:
         self._data = data
 
-    async def read(self, most: int) -> bytes:
+    async def read(self, max_bytes: int) -> bytes:
         data, self._data = self._data, b""
         return data
 
@@ -133,10 +133,10 @@
 )
 def test_whatever_cbor_stumbles_over_is_a_bad_frame(body: object) -> None:
     data = cbor2.dumps({"kind": "tell", "odd": body})
-    frame = frames.HEAD.pack(frames.MAGIC, frames.VERSION, len(data)) + data
+    frame = frames.HEADER.pack(frames.MAGIC, frames.VERSION, len(data)) + data
 
     async def main() -> None:
-        with pytest.raises(frames.FrameFault):
+        with pytest.raises(frames.FrameError):
             await frames.FrameConnection(_Bytes(frame)).read()
 
     asyncio.run(main())
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -71,7 +71,7 @@
         self.sent.append(sent)
         return sent
 
-    async def newest(self) -> observations.Got:
+    async def newest(self) -> observations.LayoutRead:
         """The newest layout, from whichever registry tells it."""
         for _ in range(TRIES):
             got = await self._fleet.get(self._rng.choice(self._fleet.cores), PATIENCE_S)
@@ -86,9 +86,9 @@
     while True:
         for core in fleet.cores:
             others = [name for other in fleet.cores if other is not core for name in other.names()]
-            fleet.world.wires.cut(core.names(), others)
+            fleet.world.links.cut(core.names(), others)
             await asyncio.sleep(4.0)
-            fleet.world.wires.heal()
+            fleet.world.links.heal()
             await asyncio.sleep(2.0)
             core.registry.lose_power()
             core.store.lose_power()
@@ -116,7 +116,7 @@
         operators = Operators(fleet, seed)
         await work(fleet, operators)
         trouble.cancel()
-        fleet.world.wires.heal()
+        fleet.world.links.heal()
         for core in fleet.cores:
             for node in (core.store, core.registry):
                 if not node.up:
@@ -218,5 +218,5 @@
 def _kept_digest(sent: Sent) -> bytes:
     """The digest of an order's body as the register keeps it."""
     checked = layouts.check(json.loads(sent.body))
-    assert isinstance(checked, outcome.Good)
-    return order_memory.digest_of(layouts.pack(checked.value))
+    assert isinstance(checked, outcome.Success)
+    return order_memory.digest_of(layouts.serialize(checked.value))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -38,24 +38,24 @@
     async def main() -> None:
         stores = benches.RegisterBench(3, tmp_path)
         await stores.start()
-        wires = stores.world.wires
+        links = stores.world.links
         first = await _proposer(stores, "a").change("k", _step(_order("a/1", b"one")))
-        assert isinstance(first, outcome.Good)
+        assert isinstance(first, outcome.Success)
         # A second order reaches one store with its accept, and is never heard of again.
         lone = _proposer(stores, "b")
-        points = typing.cast(worlds.SimPoints, lone._points)
-        points.armed[proposers.POINT_BEFORE_ACCEPT] = lambda: wires.cut(["b"], ["store1", "store2"])
+        fault_points = typing.cast(worlds.SimFaultPoints, lone._fault_points)
+        fault_points.armed[proposers.POINT_BEFORE_ACCEPT] = lambda: links.cut(["b"], ["store1", "store2"])
         task = asyncio.create_task(lone.change("k", _step(_order("b/1", b"two", match=1))))
         await asyncio.sleep(0.2)
         task.cancel()
         # The third meets that copy: the store that holds it is one of the two that answer.
-        wires.cut(["c"], ["store2"])
+        links.cut(["c"], ["store2"])
         told = await _proposer(stores, "c").change("k", _step(_order("c/1", b"three", match=1)))
-        assert isinstance(told, outcome.Bad) and told.code.tag == "lost_race"
+        assert isinstance(told, outcome.Failure) and told.code.tag == "lost_race"
         # It was sent to another registry as well, which does not reach that store.
         stores.nodes[0].lose_power()
         again = await _proposer(stores, "d").change("k", _step(_order("d/1", b"three", match=1)))
-        assert isinstance(again, outcome.Bad), "refused by one registry and in force by another"
+        assert isinstance(again, outcome.Failure), "refused by one registry and in force by another"
 
     loops.run(main())
 
@@ -64,7 +64,7 @@
     """The register's value alone, changed by one order after another."""
 
     def __init__(self) -> None:
-        self.value = register.BLANK
+        self.value = register.INITIAL_VALUE
         self.held: int | None = None
         self._orders = 0
 
@@ -73,12 +73,12 @@
         self._orders += 1
         order = _order(f"r/{self._orders}", body, number=number, match=match)
         result = order_rules.decide(self.value, order, self.held)
-        if isinstance(result, outcome.Bad):
+        if isinstance(result, outcome.Failure):
             return result.code.tag
         if result.version > self.value.version:
             self.held = number
         # As it comes back from the stores.
-        self.value = register.value_of(result.wire())
+        self.value = register.decode_value(result.to_wire())
         return order_rules.confirmed_version(self.value, order)
 
 
@@ -171,6 +171,6 @@
             for core in fleet.cores:
                 again = await fleet.put(doc, core, n + 1)
                 assert (again.status, again.version) == (200, first.version)
-                assert again.ended - again.begun < 0.1
+                assert again.ended_at - again.started_at < 0.1
 
     loops.run(main())
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -62,7 +62,7 @@
 @hypothesis.given(_sites(), _TOLERANCES)
 @hypothesis.settings(max_examples=300, deadline=None)
 def test_borne_is_what_trying_every_loss_finds(sites: Sites, tolerance: placement.Tolerance) -> None:
-    assert placement.borne(list(sites), sites, tolerance) == _survives(list(sites), sites, tolerance)
+    assert placement.is_survivable(list(sites), sites, tolerance) == _survives(list(sites), sites, tolerance)
 
 
 @hypothesis.given(_sites(), _TOLERANCES, st.data())
@@ -126,8 +126,8 @@
     def by_zone(disks: list[str]) -> dict[str, int]:
         return placement.votes_by_zone(disks, sites)
 
-    assert placement.bearable((pairs,), answering, lambda disks: dict.fromkeys(disks, 1)) == machines
-    assert placement.bearable((pairs,), answering, by_zone) == zones
+    assert placement.survivable_losses((pairs,), answering, lambda disks: dict.fromkeys(disks, 1)) == machines
+    assert placement.survivable_losses((pairs,), answering, by_zone) == zones
 
 
 _MEMBERS: typing.Final = register.MemberSet(3, ((("d", "10.0.0.1:1"),),))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -56,7 +56,7 @@
 
 def _read(speech: typing.Any, doc: object) -> layouts.Read:
     raw = speech.Platform(1.5).layout(json.dumps(doc).encode())
-    return raw if isinstance(raw, outcome.Bad) else layouts.check(raw.value)
+    return raw if isinstance(raw, outcome.Failure) else layouts.check(raw.value)
 
 
 def test_nobody_else_knows_a_name_of_the_platform() -> None:
@@ -77,7 +77,7 @@
 
 def test_a_layout_of_the_platform_in_our_words(folder: tuple[typing.Any, typing.Any]) -> None:
     result = _read(folder[0], _layout())
-    assert isinstance(result, outcome.Good)
+    assert isinstance(result, outcome.Success)
     layout = result.value
     assert layout.number == 31
     one, two = layout.rules
@@ -164,14 +164,14 @@
     ],
 )
 def test_what_is_invalid_there_is_refused(kind: str, folder: tuple[typing.Any, typing.Any]) -> None:
-    assert isinstance(_read(folder[0], _layout()), outcome.Good)
-    assert isinstance(_read(folder[0], _broken(kind)), outcome.Bad)
+    assert isinstance(_read(folder[0], _layout()), outcome.Success)
+    assert isinstance(_read(folder[0], _broken(kind)), outcome.Failure)
 
 
 def test_one_cut_short_is_refused(folder: tuple[typing.Any, typing.Any]) -> None:
     data = json.dumps(_layout()).encode()
     for size in (0, 1, len(data) // 2, len(data) - 1):
-        assert isinstance(folder[0].Platform(1.5).layout(data[:size]), outcome.Bad)
+        assert isinstance(folder[0].Platform(1.5).layout(data[:size]), outcome.Failure)
 
 
 def test_two_routes_for_the_same_requests_are_taken_and_the_first_has_them(
@@ -180,7 +180,7 @@
     doc = _layout()
     doc["routes"]["records"].append([*doc["routes"]["records"][1][:-1], "one"])
     result = _read(folder[0], doc)
-    assert isinstance(result, outcome.Good)
+    assert isinstance(result, outcome.Success)
     rule = result.value.match("b.example", "/y/z/1", "POST")
     assert rule is not None and rule.service == "two"
 
@@ -207,22 +207,22 @@
 @pytest.mark.parametrize("program", settings.PROGRAMS)
 def test_settings_under_our_names(program: str, folder: tuple[typing.Any, typing.Any]) -> None:
     checked = settings.check(program, folder[1].plain(program, _told()))
-    assert isinstance(checked, outcome.Good)
-    bounds = checked.value
-    assert (bounds.drain_s, bounds.extra_share, bounds.extra_floor, bounds.cores_lost) == (1.5, 0.1, 7, 2)
+    assert isinstance(checked, outcome.Success)
+    config = checked.value
+    assert (config.drain_s, config.extra_share, config.extra_floor, config.cores_lost) == (1.5, 0.1, 7, 2)
     if program == "registry":
-        assert bounds.founders == ("10.1.0.37:7541", "10.2.0.37:7541")
+        assert config.founders == ("10.1.0.37:7541", "10.2.0.37:7541")
         later = settings.check(program, folder[1].plain(program, _told(bootstrap=False)))
-        assert isinstance(later, outcome.Good) and later.value.founders == ()
+        assert isinstance(later, outcome.Success) and later.value.founders == ()
     if program == "proxy":
-        assert (bounds.web, bounds.ready, bounds.member) == ("10.1.0.34:80", "10.1.0.34:81", "10.1.0.34:7540")
+        assert (config.web, config.ready, config.member) == ("10.1.0.34:80", "10.1.0.34:81", "10.1.0.34:7540")
     if program == "store":
-        assert (bounds.store, bounds.web) == ("10.1.0.34:7541", "")
+        assert (config.store, config.web) == ("10.1.0.34:7541", "")
 
 
 def test_a_refusal_that_ran_is_no_promise(folder: tuple[typing.Any, typing.Any]) -> None:
     adapter = folder[0].Platform(1.5)
-    assert adapter.promised(503, [(b"Dykeswitch-Not-Executed", b"1")])
-    assert adapter.promised(421, [])
-    assert not adapter.promised(503, [(b"Retry-After", b"1")])
-    assert not adapter.promised(500, [])
+    assert adapter.promises_not_run(503, [(b"Dykeswitch-Not-Executed", b"1")])
+    assert adapter.promises_not_run(421, [])
+    assert not adapter.promises_not_run(503, [(b"Retry-After", b"1")])
+    assert not adapter.promises_not_run(500, [])
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -12,7 +12,7 @@
 import dykeswitch.proxy.program as proxies
 import dykeswitch.simulator.fleet as fleets
 import dykeswitch.simulator.loop as loops
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 import dykeswitch.standin.fleet as standins
 import dykeswitch.standin.shape as shapes
 
@@ -40,9 +40,9 @@
             endpoint.plan.fault = fault
 
 
-async def _many(fleet: fleets.SimFleet, service: shapes.ServiceShape, many: int) -> list[callers.Ask]:
+async def _many(fleet: fleets.SimFleet, service: shapes.ServiceShape, many: int) -> list[clients.Request]:
     address = fleet.edges[0].web
-    return list(await asyncio.gather(*(fleet.callers.ask(service, address) for _ in range(many))))
+    return list(await asyncio.gather(*(fleet.clients.send_request(service, address) for _ in range(many))))
 
 
 def test_overload_is_answered_at_once(tmp_path: pathlib.Path) -> None:
@@ -50,10 +50,10 @@
         asks = await _many(fleet, EXPORTS, 30)
         away = [a for a in asks if a.result == 104]
         assert len(away) >= 20
-        assert all(a.status == 503 and a.retry_after and a.ended - a.begun < 0.02 for a in away)
+        assert all(a.status == 503 and a.retry_after and a.ended_at - a.started_at < 0.02 for a in away)
         assert all(a.status == 200 for a in asks if a.result != 104)
         # Nobody who was turned away ran.
-        assert not any(fleet.record.runs.get(a.name) for a in away)
+        assert not any(fleet.record.executions.get(a.name) for a in away)
 
     _run(tmp_path, work, exchanges_most=8)
 
@@ -63,9 +63,9 @@
         _plan(fleet, "exports", "lose")
         asks = await _many(fleet, EXPORTS, 10)
         assert {(a.status, a.result, a.retry_after) for a in asks} == {(502, 108, False)}
-        assert all(len(fleet.record.runs[a.name]) == 1 for a in asks)
+        assert all(len(fleet.record.executions[a.name]) == 1 for a in asks)
         # The final answer comes as soon as it is known, not near the expiry.
-        assert max(a.ended - a.begun for a in asks) < 1.0
+        assert max(a.ended_at - a.started_at for a in asks) < 1.0
 
     _run(tmp_path, work)
 
@@ -83,7 +83,7 @@
         assert {(a.status, a.result) for a in asks} == {(502, 108) if service.writing else (503, 0)}
         # A reading request that is given up on is told when to come back.
         assert {a.retry_after for a in asks} == {not service.writing}
-        assert all(fleet.record.runs[a.name] for a in asks)
+        assert all(fleet.record.executions[a.name] for a in asks)
 
     _run(tmp_path, work)
 
@@ -96,7 +96,7 @@
         await asyncio.sleep(2.0)
         asks = await _many(fleet, EXPORTS, 3)
         assert [a.status for a in asks] == [200] * 3
-        assert all(len(fleet.record.runs[a.name]) == 1 for a in asks)
+        assert all(len(fleet.record.executions[a.name]) == 1 for a in asks)
 
     _run(tmp_path, work)
 
@@ -107,7 +107,7 @@
             fleet.kill_endpoint(name)
         asks = await _many(fleet, EXPORTS, 5)
         assert {(a.status, a.retry_after) for a in asks} == {(503, True)}
-        assert max(a.ended - a.begun for a in asks) < 1.0
+        assert max(a.ended_at - a.started_at for a in asks) < 1.0
 
     _run(tmp_path, work)
 
@@ -121,12 +121,12 @@
         assert page is not None
         assert [(r[0], r[3], r[6]) for r in page["rows"]] == [("pages-0", "answered 502", "mark")]
         # No one but the marked endpoint's fellows is asked while the mark stands.
-        hits = fleet.endpoints["pages-0"].hits
+        arrivals = fleet.endpoints["pages-0"].arrival_count
         await _many(fleet, PAGES, 20)
-        assert fleet.endpoints["pages-0"].hits == hits
+        assert fleet.endpoints["pages-0"].arrival_count == arrivals
         fleet.endpoints["pages-0"].plan.fault = "none"
         carrier = fleet.edges[1].node.daemon.carrier
-        took = await fleet.until(lambda: carrier._marks.down("pages-0") is None, 15, "the mark's end")
+        took = await fleet.until(lambda: carrier._marks.mark_of("pages-0") is None, 15, "the mark's end")
         assert took < 6.0
         page = await fleet.query("show history endpoint pages-0", fleet.cores[1])
         assert page is not None
@@ -139,9 +139,9 @@
     async def work(fleet: fleets.SimFleet) -> None:
         _plan(fleet, "exports", "lose")
         web = fleet.outside.web
-        reply = await web.ask("POST", fleet.edges[0].web, "/exports/x?ask=a", [], b"{}", 5.0)
+        reply = await web.request("POST", fleet.edges[0].web, "/exports/x?ask=a", [], b"{}", 5.0)
         assert reply.status == 502
-        name = reply.head("dykeswitch-exchange")
+        name = reply.header("dykeswitch-exchange")
         page = await fleet.query(f"explain exchange {name}", fleet.cores[2])
         assert page is not None
         told = [(row[1], row[2]) for row in page["rows"]]
@@ -159,13 +159,13 @@
 
 
 def _unsure(patch: pytest.MonkeyPatch) -> None:
-    async def sure(self: proxies.Proxy, by: float) -> bool:
+    async def confirm_fresh(self: proxies.Proxy, by: float) -> bool:
         return True
 
-    patch.setattr(proxies.Proxy, "sure", sure)
-    patch.setattr(proxies.Proxy, "gapped", lambda self: False)
+    patch.setattr(proxies.Proxy, "confirm_fresh", confirm_fresh)
+    patch.setattr(proxies.Proxy, "clock_jumped", lambda self: False)
     # It was also silent all the while, which would turn callers away.
-    patch.setattr(proxies.Proxy, "silent", lambda self: 0.0)
+    patch.setattr(proxies.Proxy, "silence_s", lambda self: 0.0)
 
 
 @pytest.mark.parametrize("guarded", [True, False])
@@ -183,16 +183,16 @@
         await asyncio.sleep(0.5)
         if not guarded:
             # No news is faster than the exchanges that wait: chance would else hide it.
-            fleet.world.wires.cut([node.name], [n for n in fleet.world.nodes if n != node.name])
+            fleet.world.links.cut([node.name], [n for n in fleet.world.nodes if n != node.name])
         doc = SMALL.layout()
         doc["rules"][0]["service"] = "exports"
         await fleet.apply(doc)
         await asyncio.sleep(3.0)
         node.thaw()
         asks = await asking
-        fleet.world.wires.heal()
+        fleet.world.links.heal()
         owners = {
-            fleet.endpoints[name].service for _, ask, name in fleet.hits if ask in {a.name for a in asks}
+            fleet.endpoints[name].service for _, ask, name in fleet.arrivals if ask in {a.name for a in asks}
         }
         assert owners == {"exports"} if guarded else "pages" in owners
 
@@ -216,7 +216,7 @@
             # A request also names the endpoint that it is for, and any other refuses it: without
             # the one guard the other still holds, so both are taken away.
             delivery = fleet.edges[0].node.daemon.carrier._delivery
-            delivery._heads = dataclasses.replace(delivery._heads, expected=b"x-nobody")
+            delivery._header_names = dataclasses.replace(delivery._header_names, expected=b"x-nobody")
         for name in ("exports-1", "exports-2"):
             await fleet.drain_endpoint(name, 0.1)
         assert (await _many(fleet, EXPORTS, 1))[0].status == 200
@@ -224,9 +224,9 @@
         turncoat.beating = False
         turncoat.name, turncoat.service = "others-0", "others"
         await asyncio.sleep(1.0)
-        hits = turncoat.hits
+        arrivals = turncoat.arrival_count
         [ask] = await _many(fleet, EXPORTS, 1)
-        assert (turncoat.hits > hits) is not guarded
+        assert (turncoat.arrival_count > arrivals) is not guarded
         assert ask.status != 200
 
     _run(tmp_path, work)
@@ -241,7 +241,7 @@
         node = fleet.edges[0].node
         node.freeze()
         # What others send meanwhile is lost, as by a pipe that was reset.
-        fleet.world.wires.cut([node.name], [n for n in fleet.world.nodes if n != node.name])
+        fleet.world.links.cut([node.name], [n for n in fleet.world.nodes if n != node.name])
         doc = SMALL.layout()
         doc["rules"][0]["service"] = "exports"
         await fleet.apply(doc)
@@ -249,9 +249,9 @@
         node.thaw()
         asking = asyncio.create_task(_many(fleet, PAGES, 10))
         await asyncio.sleep(0.01)
-        fleet.world.wires.heal()
+        fleet.world.links.heal()
         asks = {a.name for a in await asking}
-        owners = {fleet.endpoints[name].service for _, ask, name in fleet.hits if ask in asks}
+        owners = {fleet.endpoints[name].service for _, ask, name in fleet.arrivals if ask in asks}
         assert owners <= {"exports"}
         later = await _many(fleet, PAGES, 3)
         assert [a.status for a in later] == [200] * 3
@@ -287,7 +287,7 @@
         (b"Content-Encoding", b"gzip"),
     ]
     # Repeated fields stay repeated, in their order; encodings are nobody's business here.
-    assert headers.kept_heads(heads) == heads[4:]
+    assert headers.kept_headers(heads) == heads[4:]
 
 
 def test_two_runs_of_callers_are_told_apart_in_the_endpoints_books(tmp_path: pathlib.Path) -> None:
@@ -300,20 +300,20 @@
         }
         # Endpoints speak over pipes, as real ones do.
         machine = fleet.outside._replace(web=standins.LightWeb(fleet.outside.net))
-        base = await callers.direct(SMALL, machine, addresses, fleet.rng, 5.0)
-        assert all(len(fleet.record.runs[a.name]) == 1 for a in base.asks.values())
-        await fleet.callers.drive(5.0)
+        base = await clients.direct(SMALL, machine, addresses, fleet.rng, 5.0)
+        assert all(len(fleet.record.executions[a.name]) == 1 for a in base.requests.values())
+        await fleet.clients.run_traffic(5.0)
         await _many(fleet, EXPORTS, 30)
-        figures = callers.tally(fleet.record, 10.0)
+        figures = clients.summarize(fleet.record, 10.0)
         assert figures["turned_away"] >= 20
         assert figures["replied"] == figures["asked"] - figures["turned_away"] > 100
         assert (figures["run_twice"], figures["told_not_but_ran"]) == (0, 0)
         # Both still count what is so: one more run of each kind shows.
-        told = [a for a in fleet.record.asks.values() if a.writing]
+        told = [a for a in fleet.record.requests.values() if a.writing]
         for ask in (next(a for a in told if a.status == 200), next(a for a in told if a.status == 503)):
-            again = callers.Run(ask.name, "exports-0", "exports", fleet.clock.now())
-            fleet.record.runs[ask.name].append(again)
-        figures = callers.tally(fleet.record, 10.0)
+            again = clients.Execution(ask.name, "exports-0", "exports", fleet.clock.now())
+            fleet.record.executions[ask.name].append(again)
+        figures = clients.summarize(fleet.record, 10.0)
         assert (figures["run_twice"], figures["told_not_but_ran"]) == (1, 1)
 
     _run(tmp_path, work, exchanges_most=8)
@@ -332,15 +332,17 @@
             await asyncio.sleep(2.5)
         node = fleet.edges[0].node
         node.freeze()
-        fleet.world.wires.cut([node.name], [n for c in fleet.cores for n in c.names()])
+        fleet.world.links.cut([node.name], [n for c in fleet.cores for n in c.names()])
         await asyncio.sleep(1.0)
         node.thaw()
         span = 10.0 if by_rule else 0.3
-        hurried = callers.Callers(SMALL, fleet.outside, [], fleet.record, fleet.rng, span, "hurried-")
-        asks = await asyncio.gather(*(hurried.ask(s, fleet.edges[0].web) for s in (PAGES, EXPORTS) * 3))
+        hurried = clients.Clients(SMALL, fleet.outside, [], fleet.record, fleet.rng, span, "hurried-")
+        asks = await asyncio.gather(
+            *(hurried.send_request(s, fleet.edges[0].web) for s in (PAGES, EXPORTS) * 3)
+        )
         assert {(a.status, a.result, a.retry_after) for a in asks} == {(504, 112, True)}
-        assert max(a.ended - a.begun for a in asks) < 0.31
-        assert not any(fleet.record.runs.get(a.name) for a in asks)
+        assert max(a.ended_at - a.started_at for a in asks) < 0.31
+        assert not any(fleet.record.executions.get(a.name) for a in asks)
 
     _run(tmp_path, work)
 
@@ -375,18 +377,18 @@
 
     async def work(fleet: fleets.SimFleet) -> None:
         edge = fleet.edges[0]
-        hurried = callers.Callers(SMALL, fleet.outside, [], fleet.record, fleet.rng, 0.002, "hurried-")
+        hurried = clients.Clients(SMALL, fleet.outside, [], fleet.record, fleet.rng, 0.002, "hurried-")
         for _ in range(5):
-            asks = await asyncio.gather(*(hurried.ask(PAGES, edge.web) for _ in range(10)))
+            asks = await asyncio.gather(*(hurried.send_request(PAGES, edge.web) for _ in range(10)))
             assert {a.status for a in asks} == {504}
         carrier = edge.node.daemon.carrier
-        assert [n for n in fleet.endpoints if carrier._marks.down(n) is not None] == []
+        assert [n for n in fleet.endpoints if carrier._marks.mark_of(n) is not None] == []
         # One that hangs for all the time a probe has is marked as ever.
         _plan(fleet, "pages", "hang")
         for endpoint in fleet.endpoints.values():
             endpoint.plan.probe_too = True
         await _many(fleet, PAGES, 1)
-        assert any(carrier._marks.down(n) is not None for n in fleet.endpoints)
+        assert any(carrier._marks.mark_of(n) is not None for n in fleet.endpoints)
 
     _run(tmp_path, work)
 
@@ -398,22 +400,22 @@
         _plan(fleet, "pages", "hang")
         for endpoint in fleet.endpoints.values():
             endpoint.plan.probe_too = True
-        fleet.world.wires.slow.update(dict.fromkeys(fleet.endpoints, 0.2))
-        hurried = callers.Callers(SMALL, fleet.outside, [], fleet.record, fleet.rng, 0.5, "hurried-")
-        asks = await asyncio.gather(*(hurried.ask(PAGES, fleet.edges[0].web) for _ in range(10)))
+        fleet.world.links.slow.update(dict.fromkeys(fleet.endpoints, 0.2))
+        hurried = clients.Clients(SMALL, fleet.outside, [], fleet.record, fleet.rng, 0.5, "hurried-")
+        asks = await asyncio.gather(*(hurried.send_request(PAGES, fleet.edges[0].web) for _ in range(10)))
         assert {(a.status, a.result, a.retry_after) for a in asks} == {(504, 112, True)}
-        assert max(a.ended - a.begun for a in asks) < 0.51
+        assert max(a.ended_at - a.started_at for a in asks) < 0.51
 
     _run(tmp_path, work)
 
 
-async def _ask_over_a_cut(fleet: fleets.SimFleet, span: float) -> list[callers.Ask]:
+async def _ask_over_a_cut(fleet: fleets.SimFleet, span: float) -> list[clients.Request]:
     """Five who ask while their way to the proxy is closed for a span."""
-    wires = fleet.world.wires
-    wires.cut(["outside"], [fleet.edges[0].node.name])
+    links = fleet.world.links
+    links.cut(["outside"], [fleet.edges[0].node.name])
     asking = asyncio.create_task(_many(fleet, EXPORTS, 5))
     await asyncio.sleep(span)
-    wires.heal()
+    links.heal()
     return await asking
 
 
@@ -422,8 +424,8 @@
 
     async def work(fleet: fleets.SimFleet) -> None:
         asks = await _ask_over_a_cut(fleet, 10.5)
-        assert [(a.status, a.flaw[:12]) for a in asks] == [(0, "TimeoutError")] * 5
-        assert not any(fleet.record.runs.get(a.name) for a in asks)
+        assert [(a.status, a.error[:12]) for a in asks] == [(0, "TimeoutError")] * 5
+        assert not any(fleet.record.executions.get(a.name) for a in asks)
 
     _run(tmp_path, work)
 
@@ -435,6 +437,6 @@
         _plan(fleet, "exports", "hang")
         asks = await _ask_over_a_cut(fleet, 4.0)
         assert {(a.status, a.result) for a in asks} == {(504, 109)}
-        assert max(a.ended - a.begun for a in asks) < 10.1
+        assert max(a.ended_at - a.started_at for a in asks) < 10.1
 
     _run(tmp_path, work)
--- a/tests/test_random_attempts.py
+++ b/tests/test_random_attempts.py
@@ -100,15 +100,15 @@
         cut = "a long failure that is cut" in case.scripts
         late = "a long failure" in case.scripts and took_s >= EXPIRY_S
         return found if cut or late else [*found, "broken off"]
-    heads = dict(answer.heads)
-    if heads[b"content-length"] != str(len(answer.body)).encode():
+    headers = dict(answer.headers)
+    if headers[b"content-length"] != str(len(answer.body)).encode():
         found.append("a length that is not the body's")
-    if b"dykeswitch-result" not in heads and answer.body not in BODIES[answer.status]:
+    if b"dykeswitch-result" not in headers and answer.body not in BODIES[answer.status]:
         found.append(f"{answer.status} with {len(answer.body)} bytes of no endpoint's answer")
     # To a read these say nothing of what ran: it may be repeated.
     rule = _rule(case.layout_at(took_s), case.method)
     writes = case.method == "POST" if rule is None else rule.get("writing", case.method == "POST")
-    if writes and may_have_run and answer.status in (404, 503) and b"dykeswitch-result" in heads:
+    if writes and may_have_run and answer.status in (404, 503) and b"dykeswitch-result" in headers:
         found.append(f"{answer.status} for what may have run")
     return found
 
--- a/tests/test_read_contention.py
+++ b/tests/test_read_contention.py
@@ -39,14 +39,14 @@
     _slow_down(fleet)
     lagging = fleet.cores[2]
     names = [name for name in fleet.world.nodes if name != lagging.store.name]
-    fleet.world.wires.cut([lagging.store.name], names)
+    fleet.world.links.cut([lagging.store.name], names)
     assert (await fleet.put(_layout("/more"), fleet.cores[0])).status == 200
     for core in fleet.cores:
         core.registry.lose_power()
         core.store.lose_power()
     for edge in fleet.edges:
         edge.node.lose_power()
-    fleet.world.wires.heal()
+    fleet.world.links.heal()
     fleet.cores[0].store.wipe()
     _slow_down(fleet)
     await asyncio.sleep(0.5)
@@ -79,15 +79,15 @@
 
 
 async def _ask(bench: benches.RegisterBench, store: int, ask: messages.Prepare | messages.Accept) -> None:
-    caller = frames.Caller(bench.outside.net)
-    result = await caller.ask(bench.addresses[store], ask.KIND, messages.encode(ask), 1.0)
-    assert isinstance(result, outcome.Good), result
+    call_client = frames.CallClient(bench.outside.net)
+    result = await call_client.call(bench.addresses[store], ask.KIND, messages.encode(ask), 1.0)
+    assert isinstance(result, outcome.Success), result
 
 
 async def _unlike_copies(bench: benches.RegisterBench, promised_to_one_that_is_gone: bool) -> None:
     """Store 0 is down, store 1 alone holds the newest value, and perhaps store 2 promised a later one."""
     first = bench.proposer("first")
-    assert isinstance(await first.change("k", benches.put(b"old", "1")), outcome.Good)
+    assert isinstance(await first.change("k", benches.put(b"old", "1")), outcome.Success)
     await asyncio.sleep(0.2)
     disks = [node.daemon.voter.disk_id for node in bench.nodes]
     value = register.Value(2, b"new", (("1", 1), ("2", 2)))
@@ -117,7 +117,7 @@
         loop = asyncio.get_running_loop()
         begun = loop.time()
         found = await asyncio.gather(*(one.read("k") for one in registries for _ in range(READERS)))
-        assert {read.value.body if isinstance(read, outcome.Good) else b"" for read in found} == {b"new"}
+        assert {read.value.body if isinstance(read, outcome.Success) else b"" for read in found} == {b"new"}
         assert loop.time() - begun < 1.0
 
     loops.run(main())
@@ -132,10 +132,10 @@
         await _unlike_copies(bench, promised_to_one_that_is_gone=False)
         reader = bench.proposer("reader")
         found = await reader.read("k")
-        assert isinstance(found, outcome.Good) and found.value.body == b"new"
-        seats = [node.daemon.voter._seats["k"] for node in bench.nodes[1:]]
-        assert {seat.ballot for seat in seats} == {(500, "first")}
-        assert reader.mended == 0
+        assert isinstance(found, outcome.Success) and found.value.body == b"new"
+        key_states = [node.daemon.voter._key_states["k"] for node in bench.nodes[1:]]
+        assert {key_state.ballot for key_state in key_states} == {(500, "first")}
+        assert reader.repaired == 0
 
     loops.run(main())
 
@@ -243,7 +243,7 @@
         results = await asyncio.gather(
             *(proposer.change("k", benches.put(f"{n}".encode(), f"{n}")) for n in range(8))
         )
-        assert sorted(r.value.version for r in results if isinstance(r, outcome.Good)) == list(range(1, 9))
+        assert sorted(r.value.version for r in results if isinstance(r, outcome.Success)) == list(range(1, 9))
         # One ballot for each: nothing was tried twice.
         assert proposer._count == 8
 
--- a/tests/test_real.py
+++ b/tests/test_real.py
@@ -40,8 +40,10 @@
 
 
 async def _ask(fleet: fleets.Fleet, method: str, path: str, **more: typing.Any) -> typing.Any:
-    heads = more.get("heads", [])
-    return await fleet.machine.web.ask(method, fleet.proxies[0].web, path, heads, more.get("body", b""), 10)
+    headers = more.get("heads", [])
+    return await fleet.machine.web.request(
+        method, fleet.proxies[0].web, path, headers, more.get("body", b""), 10
+    )
 
 
 async def _plain(fleet: fleets.Fleet) -> None:
@@ -49,10 +51,10 @@
     assert reply.status == 200
     # Path and query go through as they were sent.
     assert json.loads(reply.body)["target"] == "/pages/x?ask=a&b=%20c&b=2"
-    assert reply.head("dykeswitch-exchange")
+    assert reply.header("dykeswitch-exchange")
     head = await _ask(fleet, "HEAD", "/pages/x")
     assert (head.status, head.body) == (200, b"")
-    assert int(head.head("content-length")) > 0
+    assert int(head.header("content-length")) > 0
     big = await _ask(fleet, "GET", "/pages/x?size=3000000")
     assert len(big.body) == 3000000
 
@@ -61,18 +63,18 @@
     page = (await _ask(fleet, "GET", "/-/counters")).body.decode()
     assert 'dykeswitch_proxy_replied_total{member="proxy0"} 3.0' in page
     core = fleet.cores[0][0]
-    reply = await fleet.machine.web.ask("GET", core.web, "/-/counters", [], b"", 5)
+    reply = await fleet.machine.web.request("GET", core.web, "/-/counters", [], b"", 5)
     assert 'dykeswitch_registry_endpoints_up_total{member="core0"} 4.0' in reply.body.decode()
 
 
 async def _refusals(fleet: fleets.Fleet) -> None:
     address = fleet.proxies[0].web
     missing = await _ask(fleet, "GET", "/nowhere")
-    assert (missing.status, missing.head("dykeswitch-result")) == (404, "101")
+    assert (missing.status, missing.header("dykeswitch-result")) == (404, "101")
     hurried = await _ask(fleet, "GET", "/pages/x", heads=[("dykeswitch-expiry-ms", "soon")])
-    assert (hurried.status, hurried.head("dykeswitch-result")) == (400, "107")
+    assert (hurried.status, hurried.header("dykeswitch-result")) == (400, "107")
     large = await _ask(fleet, "POST", "/exports/x", body=b"x" * (9 * 1024 * 1024))
-    assert (large.status, large.head("dykeswitch-result")) == (413, "105")
+    assert (large.status, large.header("dykeswitch-result")) == (413, "105")
     garbage = await asyncio.to_thread(_raw, address, b"\x00\xff nonsense\r\n\r\n")
     assert b"400" in garbage.split(b"\r\n")[0]
     long = b"GET /pages/x HTTP/1.1\r\nhost: a\r\nconnection: close\r\nx-long: " + b"y" * 100000 + b"\r\n\r\n"
@@ -90,7 +92,7 @@
 async def _beats(fleet: fleets.Fleet) -> None:
     web, address = fleet.machine.web, fleet.cores[0][0].web
     for body, code in ((b"{", 304), (b"[]", 201), (b'{"id": "x"}', 201), (b"x" * 20000, 306)):
-        reply = await web.ask("POST", address, "/v1/beat", [], body, 5)
+        reply = await web.request("POST", address, "/v1/beat", [], body, 5)
         assert json.loads(reply.body)["code"] == code
     assert await fleet.known() == 4
 
@@ -99,8 +101,8 @@
     """A conditional change, repeated while we are told to come back or that it is unknown."""
     end = fleet.machine.clock.now() + 40
     while True:
-        heads = [("if-match", f'"{match}"')]
-        reply = await fleet.machine.web.ask("PUT", address, "/v1/layout", heads, data, 10)
+        headers = [("if-match", f'"{match}"')]
+        reply = await fleet.machine.web.request("PUT", address, "/v1/layout", headers, data, 10)
         # A busy disk may keep a majority from syncing in time: that is said, not hidden.
         if reply.status not in (503, 504) or fleet.machine.clock.now() > end:
             return reply
@@ -108,8 +110,8 @@
 
 async def _operator(fleet: fleets.Fleet) -> None:
     web, address = fleet.machine.web, fleet.cores[1][0].web
-    got = await web.ask("GET", address, "/v1/layout", [], b"", 5)
-    version = int(got.head("dykeswitch-version") or 0)
+    got = await web.request("GET", address, "/v1/layout", [], b"", 5)
+    version = int(got.header("dykeswitch-version") or 0)
     doc = {**SMALL.layout(), "services": {**SMALL.layout()["services"], "spare": {}}}
     data = json.dumps(doc).encode()
     stale = await _put(fleet, address, version + 5, data)
@@ -121,7 +123,7 @@
     again = await _put(fleet, address, version, data)
     assert json.loads(again.body)["version"] == version + 1
     ask = json.dumps({"text": "show proxies"}).encode()
-    page = json.loads((await web.ask("POST", address, "/v1/query", [], ask, 5)).body)
+    page = json.loads((await web.request("POST", address, "/v1/query", [], ask, 5)).body)
     assert {row[0] for row in page["rows"]} == {"proxy0", "proxy1"}
     assert page["fresh"]["majority"] is True
 
@@ -156,7 +158,7 @@
     ):
         assert await said("query", "--at", at, *sentence.split(" ")) == 0, sentence
     carried = await _ask(fleet, "GET", "/pages/x")
-    name = str(carried.head("dykeswitch-exchange"))
+    name = str(carried.header("dykeswitch-exchange"))
     assert await said("query", "--at", at, "explain", "exchange", name) == 0
     assert await said("query", "--at", at, "explain", "exchange", f"{name}0") == 1
     unquoted = ["pause", "pages-1", "for", "1s", "because", "new disk"]
@@ -168,7 +170,7 @@
 async def _signals(fleet: fleets.Fleet) -> None:
     proxy = fleet.proxies[1]
     service = SMALL.services[1]
-    flight = [asyncio.create_task(fleet.callers.ask(service, proxy.web)) for _ in range(20)]
+    flight = [asyncio.create_task(fleet.clients.send_request(service, proxy.web)) for _ in range(20)]
 
     def at_work() -> bool:
         return sum(1 for h in fleet.hosts for line in h.lines() if line[0] == "hit") >= 5
@@ -177,7 +179,7 @@
     proxy.tell(signal.SIGTERM)
     asks = await asyncio.gather(*flight)
     # What was at work is finished, though the machine is stopping.
-    assert [(a.status, a.flaw) for a in asks] == [(200, "")] * 20
+    assert [(a.status, a.error) for a in asks] == [(200, "")] * 20
     assert await proxy.gone(8) == 0
     registry = fleet.cores[2][0]
     registry.tell(signal.SIGTERM)
@@ -257,7 +259,7 @@
         def now(self) -> float:
             return 0.0
 
-        async def sleep(self, span: float) -> None:
+        async def sleep(self, duration_s: float) -> None:
             return None
 
     fleet = LateFleet.__new__(LateFleet)
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -15,7 +15,7 @@
 import dykeswitch.simulator.loop as loops
 import dykeswitch.simulator.machines as machines
 import dykeswitch.standin.shape as shapes
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 PAGES: typing.Final = shapes.ServiceShape("pages", 3, 20, "/pages", "GET", 0.05)
 SMALL: typing.Final = shapes.Shape("small", 2, 3, ("z1", "z2"), (PAGES,))
@@ -64,7 +64,7 @@
 
 async def _leave(fleet: fleets.SimFleet, name: str, core: machines.Core) -> int:
     body = json.dumps({"id": name, "leaving": True}).encode()
-    reply = await fleet.outside.web.ask("POST", core.web, "/v1/beat", [], body, 2.0)
+    reply = await fleet.outside.web.request("POST", core.web, "/v1/beat", [], body, 2.0)
     return reply.status
 
 
@@ -86,12 +86,12 @@
         # Its words to others are lost from now on; its callers still reach it.
         if not guarded:
             names = [n for n in fleet.world.nodes if n != core.registry.name]
-            fleet.world.wires.cut([core.registry.name], names)
+            fleet.world.links.cut([core.registry.name], names)
         assert await _leave(fleet, "pages-0", core) == 200
         core.registry.lose_power()
         await asyncio.sleep(1.0)
-        others = [c.registry.daemon.line.get(timeline.ENDPOINT, "pages-0") for c in fleet.cores[1:]]
-        known = all(e is not None and e.fields["state"] == timeline.LEFT for e in others)
+        others = [c.registry.daemon.timeline.get(timelines.ENDPOINT, "pages-0") for c in fleet.cores[1:]]
+        known = all(e is not None and e.fields["state"] == timelines.LEFT for e in others)
         assert known is guarded
 
     _run(tmp_path, work)
@@ -102,7 +102,7 @@
         core = fleet.cores[0]
         fleet.endpoints["pages-0"].beating = False
         others = [n for c in fleet.cores[1:] for n in c.names()]
-        fleet.world.wires.cut([core.registry.name], others)
+        fleet.world.links.cut([core.registry.name], others)
         assert await _leave(fleet, "pages-0", core) == 503
         assert await _leave(fleet, "pages-0", fleet.cores[1]) == 200
 
@@ -153,15 +153,15 @@
 
 def test_what_is_remembered_gives_way_to_what_is_heard_and_to_what_left() -> None:
     async def main() -> None:
-        line = timeline.Timeline("r", _Clock(), 900.0)
-        fields: timeline.Fields = {"service": "s", "address": "10.0.0.1:1", "state": "up", "born": [0, "r"]}
-        line.write(timeline.ENDPOINT, "a", {**fields, "remembered": True}, 2.0, urgent=False)
+        timeline = timelines.Timeline("r", _Clock(), 900.0)
+        fields: timelines.Fields = {"service": "s", "address": "10.0.0.1:1", "state": "up", "born": [0, "r"]}
+        timeline.write(timelines.ENDPOINT, "a", {**fields, "remembered": True}, 2.0, urgent=False)
         # A beat that another registry heard, with a lower count than ours.
-        assert line.merge([["endpoint", "a", 1, "b", {**fields, "zone": "z"}, 50.0]]) == 1
-        held = line.get(timeline.ENDPOINT, "a")
+        assert timeline.merge([["endpoint", "a", 1, "b", {**fields, "zone": "z"}, 50.0]]) == 1
+        held = timeline.get(timelines.ENDPOINT, "a")
         assert held is not None and "remembered" not in held.fields
-        line.write(timeline.ENDPOINT, "a", {**fields, "remembered": True}, 2.0, urgent=False)
-        held = line.get(timeline.ENDPOINT, "a")
+        timeline.write(timelines.ENDPOINT, "a", {**fields, "remembered": True}, 2.0, urgent=False)
+        held = timeline.get(timelines.ENDPOINT, "a")
         assert held is not None and "remembered" not in held.fields
 
     asyncio.run(main())
@@ -174,7 +174,7 @@
     def wall(self) -> float:
         return 10.0
 
-    async def sleep(self, span: float) -> None:
+    async def sleep(self, duration_s: float) -> None:
         return None
 
 
@@ -187,7 +187,7 @@
     if not guarded:
 
         def silent_long(self: reconfigurations.Reconfiguration, members: register.MemberSet) -> list[str]:
-            return [d for d in members.disks() if self.silent_s(d) >= self._bounds.swap_s]
+            return [d for d in members.disks() if self.silent_s(d) >= self._config.disk_replace_after_s]
 
         monkeypatch.setattr(reconfigurations.Reconfiguration, "_lost", silent_long)
 
@@ -199,7 +199,9 @@
 
         def seated() -> bool:
             daemon = core.store.daemon
-            return bool(daemon is not None and daemon.voter.seated() and not daemon.voter.members.joint())
+            return bool(
+                daemon is not None and daemon.voter.has_vote() and not daemon.voter.members.is_joint()
+            )
 
         took.append(await fleet.until(seated, 15, "the empty disk is seated"))
 
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -66,7 +66,7 @@
     core.store.lose_power()
 
 
-async def _order(fleet: fleets.SimFleet, path: str) -> observations.Put:
+async def _order(fleet: fleets.SimFleet, path: str) -> observations.LayoutPut:
     doc = fleet.shape.layout()
     doc["rules"].append({"path": path, "service": "pages"})
     up = next(c for c in fleet.cores if c.registry.up)
@@ -107,7 +107,7 @@
         assert await store.stop(exposure.GRACE_S)
         assert fleet.clock.now() - begun <= settings.Settings().handover_wait_s + 0.2
         store.restart()
-        await fleet.until(lambda: store.daemon is not None and store.daemon.voter.seated(), 5, "seated")
+        await fleet.until(lambda: store.daemon is not None and store.daemon.voter.has_vote(), 5, "seated")
         assert _disk(fleet.cores[0]) == disk
 
     loops.run(main())
@@ -147,7 +147,7 @@
 ) -> None:
     """All three founders were replaced and emptied; a registry that starts anew reaches only them."""
     if not guarded:
-        monkeypatch.setattr(voters.Voter, "blank", voters.Voter.vacant)
+        monkeypatch.setattr(voters.Voter, "never_voted", voters.Voter.is_vacant)
 
     async def main() -> None:
         fleet = await _fleet(tmp_path)
@@ -160,13 +160,13 @@
             await core.store.stop(exposure.GRACE_S)
             core.registry.kill()
         inside = [name for core in founders for name in core.names()]
-        fleet.world.wires.cut(inside, [n for n in fleet.world.nodes if n not in inside])
+        fleet.world.links.cut(inside, [n for n in fleet.world.nodes if n not in inside])
         for core in founders:
             core.store.restart()
         await asyncio.sleep(0.5)
         founders[0].registry.restart()
         await asyncio.sleep(5.0)
-        seated = [core.store.daemon.voter.seated() for core in founders]
+        seated = [core.store.daemon.voter.has_vote() for core in founders]
         assert any(seated) is not guarded
 
     loops.run(main())
@@ -228,7 +228,7 @@
         self.died: list[machines.Core] = []
 
     def arm(self, core: machines.Core) -> None:
-        core.registry.points.armed[self._point] = lambda: self._strike(core)
+        core.registry.fault_points.armed[self._point] = lambda: self._strike(core)
 
     def _strike(self, driver: machines.Core) -> None:
         if self.died:
@@ -237,7 +237,7 @@
         self.died.append(victim)
         _dark(victim)
         if victim is driver:
-            raise worlds.Killed("dark")
+            raise worlds.ProcessKilled("dark")
 
     def _other(self, driver: machines.Core) -> machines.Core:
         voting = self._lost == "other voter"
@@ -295,7 +295,7 @@
         assert (await _order(fleet, "/after")).status == 200
         assert exposure.spare_votes(fleet) >= 0
         members = [core.store.daemon.voter.members for core in fleet.cores if core.store.up]
-        assert not max(members, key=lambda held: held.epoch).joint()
+        assert not max(members, key=lambda held: held.epoch).is_joint()
 
     loops.run(main())
 
@@ -311,7 +311,7 @@
 
         async def at_once(self: reconfigurations.Reconfiguration) -> None:
             with monkeypatch.context() as patch:
-                patch.setattr(register, "carried", lambda groups, yes: True)
+                patch.setattr(register, "has_majorities", lambda groups, yes: True)
                 await retire(self)
 
         monkeypatch.setattr(reconfiguration, "_retire_replaced", at_once)
@@ -325,7 +325,7 @@
 
         async def one_sided(self: reconfigurations.Reconfiguration, members: register.MemberSet) -> set[str]:
             """The final set reaches the one that goes, and nobody else."""
-            if members.joint() or gone in members.disks():
+            if members.is_joint() or gone in members.disks():
                 return await install(self, members)
             state = self.states.get(gone)
             if state is not None and state.members.epoch < members.epoch:
@@ -383,7 +383,7 @@
             node.restart()
             await fleet.until(lambda: node.daemon is not None and node.daemon.voter.disk_id, 5, "back")
         state = node.daemon.voter.state()
-        assert not node.flaw
+        assert not node.crash
         assert not state.blank
         assert state.disk == gone or state.erased
         await asyncio.sleep(3.0)
@@ -397,7 +397,7 @@
 
     async def main() -> None:
         disk = real.RealDisk(tmp_path)
-        kept = records.Records(disk, ports.NoPoints())
+        kept = records.Records(disk, ports.NoFaultPoints())
         await kept.open()
         await kept.put("first", b"1")
         begun, go_on = threading.Event(), threading.Event()
@@ -416,7 +416,7 @@
         await asyncio.sleep(0)
         go_on.set()
         await asyncio.gather(slow_write, erasure, late, return_exceptions=True)
-        again = records.Records(disk, ports.NoPoints())
+        again = records.Records(disk, ports.NoFaultPoints())
         found = await again.open()
         assert "first" not in found and "second" not in found
         assert again.voted_before
@@ -436,13 +436,13 @@
         proposer: proposers.Proposer = registry.parts.proposer
         # Lower than what was promised: refused by all that answer.
         begun = fleet.clock.now()
-        answers = await proposer.quorum.ask_all(
+        answers = await proposer.quorum.call_all(
             proposer.members.groups,
             messages.Prepare("layout", (0, "x"), proposer.members.epoch, ""),
             messages.Promise,
         )
         assert not answers.yes and len(answers.no) >= 2
-        assert fleet.clock.now() - begun < registry.bounds.call_s / 2
+        assert fleet.clock.now() - begun < registry.config.call_timeout_s / 2
 
     loops.run(main())
 
@@ -453,16 +453,16 @@
         await asyncio.sleep(2.0)
 
         async def odd(body: frames.Body) -> frames.Result:
-            return outcome.Good({"disk": "x", "set": "nonsense"})
+            return outcome.Success({"disk": "x", "set": "nonsense"})
 
         voter = fleet.cores[2].store.daemon.voter
         core = fleet.cores[2]
-        ear = frames.Ear({**voter.kinds(), "state": odd}, lambda event, what: None)
-        host, _ = fleet.world.wires.ears[core.registry.daemon.bounds.store]
-        fleet.world.wires.ears[core.registry.daemon.bounds.store] = (host, ear.serve)
-        fleet.world.wires.reset_host(core.store.name)
+        server = frames.CallServer({**voter.kinds(), "state": odd}, lambda event, what: None)
+        host, _ = fleet.world.links.listeners[core.registry.daemon.config.store]
+        fleet.world.links.listeners[core.registry.daemon.config.store] = (host, server.serve)
+        fleet.world.links.reset_host(core.store.name)
         await asyncio.sleep(3.0)
-        assert all(c.registry.up and not c.registry.flaw for c in fleet.cores)
+        assert all(c.registry.up and not c.registry.crash for c in fleet.cores)
         assert (await _order(fleet, "/odd")).status == 200
 
     loops.run(main())
@@ -473,7 +473,7 @@
         fleet = await _fleet(tmp_path, cores=4)
         await asyncio.sleep(4.0)
         body = json.dumps({"text": "who votes", "by": "operator"}).encode()
-        reply = await fleet.outside.web.ask("POST", fleet.cores[0].web, "/v1/query", [], body, 5.0)
+        reply = await fleet.outside.web.request("POST", fleet.cores[0].web, "/v1/query", [], body, 5.0)
         page = json.loads(reply.body)
         rows = [dict(zip(page["columns"], row)) for row in page["rows"]]
         assert sorted(row["vote"] for row in rows) == ["none", "votes", "votes", "votes"]
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -28,15 +28,15 @@
 def _seating(
     bench: benches.RegisterBench, name: str, proposer: proposers.Proposer
 ) -> reconfigurations.Reconfiguration:
-    bounds = settings.Settings(name=name, founders=tuple(bench.addresses[:3]))
-    caller = frames.Caller(bench.outside.net)
+    config = settings.Settings(name=name, founders=tuple(bench.addresses[:3]))
+    call_client = frames.CallClient(bench.outside.net)
     return reconfigurations.Reconfiguration(
-        name, bounds, bench.outside, caller, proposer, lambda event, what: None
+        name, config, bench.outside, call_client, proposer, lambda event, what: None
     )
 
 
 def _good(result: proposers.Read) -> register.Value:
-    assert isinstance(result, outcome.Good), result
+    assert isinstance(result, outcome.Success), result
     return result.value
 
 
@@ -57,11 +57,11 @@
             raise OSError("power")
 
         # The prepare passes the point first; the accept is what may be lost.
-        passed = node.points.passed.get(point, 0)
-        node.points.armed[point] = lambda: node.points.armed.__setitem__(point, dark)
+        passed = node.fault_points.passed.get(point, 0)
+        node.fault_points.armed[point] = lambda: node.fault_points.armed.__setitem__(point, dark)
         result = await proposer.change("k", benches.put(b"two", "2"))
-        assert node.points.passed[point] > passed
-        assert isinstance(result, outcome.Bad)
+        assert node.fault_points.passed[point] > passed
+        assert isinstance(result, outcome.Failure)
         node.restart()
         await asyncio.sleep(0.1)
         value = _good(await bench.proposer("b").read("k"))
@@ -88,7 +88,7 @@
         node.lose_power()
         node.restart()
         await asyncio.sleep(0.1)
-        kept = node.daemon.voter._seats.get("k") if node.up and not node.flaw else None
+        kept = node.daemon.voter._key_states.get("k") if node.up and not node.crash else None
         assert kept is None or kept.value.body != b"one"
 
     loops.run(main())
@@ -136,7 +136,7 @@
         node.lose_power()
         node.restart()
         await asyncio.sleep(0.1)
-        kept = node.daemon.voter._seats.get("k") if node.up and not node.flaw else None
+        kept = node.daemon.voter._key_states.get("k") if node.up and not node.crash else None
         return kept is None or kept.value.body != b"one"
 
     # Chance decides what an unsynced write leaves, so a few losses are tried.
@@ -157,7 +157,7 @@
         path.write_bytes(bytes(data))
         node.start()
         await asyncio.sleep(0.1)
-        assert "Damage" in node.flaw
+        assert "StorageDamageError" in node.crash
 
     loops.run(main())
 
@@ -174,7 +174,7 @@
         def die() -> None:
             raise RuntimeError("killed here")
 
-        bench.outside.points.armed[point] = die  # type: ignore[attr-defined]
+        bench.outside.fault_points.armed[point] = die  # type: ignore[attr-defined]
         with pytest.raises(RuntimeError):
             await bench.proposer("b").change("k", benches.put(b"two", "2"))
         # Each third of the disks in turn is away: all readers tell one story.
@@ -196,23 +196,23 @@
     async def main() -> None:
         bench = benches.RegisterBench(5, tmp_path)
         await bench.start()
-        wires = bench.world.wires
+        links = bench.world.links
         first = bench.proposer("a")
         _good(await first.change("k", benches.put(b"one", "1")))
 
-        def conditional(now: register.Value) -> register.Value | outcome.Bad:
+        def conditional(now: register.Value) -> register.Value | outcome.Failure:
             if now.version != 1:
-                return outcome.bad("lost_race")
-            return now.next(b"mine", "2")
+                return outcome.failure("lost_race")
+            return now.successor(b"mine", "2")
 
         def lone() -> None:
             # The accept reaches one disk alone.
-            wires.cut(["outside"], ["store1", "store2"])
-            bench.world.loop.call_later(2.5, wires.heal, context=loops.EMPTY)
+            links.cut(["outside"], ["store1", "store2"])
+            bench.world.loop.call_later(2.5, links.heal, context=loops.EMPTY)
 
-        bench.outside.points.armed[proposers.POINT_BEFORE_ACCEPT] = lone  # type: ignore[attr-defined]
+        bench.outside.fault_points.armed[proposers.POINT_BEFORE_ACCEPT] = lone  # type: ignore[attr-defined]
         result = await first.change("k", conditional)
-        assert isinstance(result, outcome.Bad)
+        assert isinstance(result, outcome.Failure)
         assert result.code.tag == "unknown"
         # Another goes first, without the disk that holds the stray copy.
         bench.nodes[0].lose_power()
@@ -221,7 +221,7 @@
         bench.nodes[0].restart()
         await asyncio.sleep(0.1)
         again = await bench.proposer("c").change("k", conditional)
-        assert isinstance(again, outcome.Bad)
+        assert isinstance(again, outcome.Failure)
         assert again.code.tag == "lost_race"
         for node in bench.nodes:
             node.lose_power()
@@ -237,8 +237,8 @@
     # The disk's id and its seat cover for each other: both are taken away.
     barred = voters.Voter._barred
 
-    def lax(self: voters.Voter, key: str, disk: str, epoch: int) -> outcome.Bad | None:
-        return barred(self, register.MEMBERS, self.disk_id, epoch)
+    def lax(self: voters.Voter, key: str, disk: str, epoch: int) -> outcome.Failure | None:
+        return barred(self, register.MEMBERS_KEY, self.disk_id, epoch)
 
     patch.setattr(voters.Voter, "_barred", lax)
 
@@ -269,9 +269,9 @@
             # A majority of one old copy and one blank disk takes back what was confirmed.
             assert _good(await bench.proposer("b").read("k")).version == 0
             return
-        assert isinstance(await bench.proposer("b").read("k"), outcome.Bad)
+        assert isinstance(await bench.proposer("b").read("k"), outcome.Failure)
         refused = await bench.proposer("c").change("k", benches.put(b"old", "2"))
-        assert isinstance(refused, outcome.Bad)
+        assert isinstance(refused, outcome.Failure)
         assert refused.code.tag == "no_majority"
         bench.nodes[0].restart()
         await asyncio.sleep(0.1)
@@ -298,11 +298,11 @@
                 if rng.random() < 0.5:
                     body = f"{n}/{turn}".encode()
                     result = await proposer.change("k", benches.put(body, body.decode()))
-                    if isinstance(result, outcome.Bad) and result.code.tag != "unknown":
+                    if isinstance(result, outcome.Failure) and result.code.tag != "unknown":
                         refused.add(body)
                 else:
                     result = await proposer.read("k")
-                if isinstance(result, outcome.Good):
+                if isinstance(result, outcome.Success):
                     value = result.value
                     facts.append((begun, bench.world.loop.time(), value.version, value.body))
                 await asyncio.sleep(rng.uniform(0.0, 0.3))
@@ -320,9 +320,9 @@
                     await asyncio.sleep(rng.uniform(0.05, 1.0))
                     node.thaw()
                 else:
-                    bench.world.wires.cut(["outside"], [node.name], both=rng.random() < 0.5)
+                    bench.world.links.cut(["outside"], [node.name], both=rng.random() < 0.5)
                     await asyncio.sleep(rng.uniform(0.05, 1.0))
-                    bench.world.wires.heal()
+                    bench.world.links.heal()
                 await asyncio.sleep(rng.uniform(0.0, 0.2))
 
         async with asyncio.TaskGroup() as group:
@@ -348,15 +348,19 @@
     def __init__(self, proposer: proposers.Proposer) -> None:
         self.promised: dict[register.Ballot, set[str]] = {}
         self.asked: list[tuple[register.Ballot, bytes]] = []
-        self._ask = proposer.quorum._caller.ask
-        proposer.quorum._caller.ask = self.ask  # type: ignore[method-assign]
+        self._call = proposer.quorum._call_client.call
+        proposer.quorum._call_client.call = self.call  # type: ignore[method-assign]
 
-    async def ask(self, address: ports.Address, kind: str, body: frames.Body, wait: float) -> frames.Result:
+    async def call(
+        self, address: ports.Address, kind: str, body: frames.Body, timeout_s: float
+    ) -> frames.Result:
         if kind == "accept":
-            self.asked.append((register.ballot_of(body["ballot"]), register.value_of(body["value"]).body))
-        result = await self._ask(address, kind, body, wait)
-        if kind == "prepare" and isinstance(result, outcome.Good):
-            self.promised.setdefault(register.ballot_of(body["ballot"]), set()).add(str(body["disk"]))
+            self.asked.append(
+                (register.decode_ballot(body["ballot"]), register.decode_value(body["value"]).body)
+            )
+        result = await self._call(address, kind, body, timeout_s)
+        if kind == "prepare" and isinstance(result, outcome.Success):
+            self.promised.setdefault(register.decode_ballot(body["ballot"]), set()).add(str(body["disk"]))
         return result
 
 
@@ -375,17 +379,21 @@
         def widen(spare: int, op: str) -> proposers.Step:
             fresh = register.MemberSet(2, (old, tuple(sorted((*old[:spare], *old[spare + 1 :], every[3])))))
 
-            def step(now: register.Value) -> register.Value | outcome.Bad:
-                return now if now.made(op) is not None else now.next(register.encode_set(fresh), op)
+            def step(now: register.Value) -> register.Value | outcome.Failure:
+                return (
+                    now
+                    if now.version_of(op) is not None
+                    else now.successor(register.member_set_to_body(fresh), op)
+                )
 
             return step
 
-        await asyncio.gather(*(proposer.change(register.MEMBERS, widen(n, f"{n}")) for n in range(3)))
+        await asyncio.gather(*(proposer.change(register.MEMBERS_KEY, widen(n, f"{n}")) for n in range(3)))
         assert book.asked
         bodies: dict[register.Ballot, bytes] = {}
         for ballot, body in book.asked:
-            groups = register.decode_set(register.Value(1, body)).groups
-            assert register.carried((old, *groups), book.promised.get(ballot, ())), ballot
+            groups = register.member_set_from_body(register.Value(1, body)).groups
+            assert register.has_majorities((old, *groups), book.promised.get(ballot, ())), ballot
             assert bodies.setdefault(ballot, body) == body, f"two changes share {ballot}"
 
     loops.run(main())
@@ -401,16 +409,16 @@
         _good(await proposer.change("k", benches.put(b"one", "1")))
         # Until the last of the three holds it too.
         await asyncio.sleep(0.1)
-        whole = proposer.quorum.ask_all
+        whole = proposer.quorum.call_all
 
-        async def slowly(groups: typing.Any, ask: typing.Any, answer: typing.Any) -> typing.Any:
-            found: typing.Any = await whole(groups, ask, answer)
-            if isinstance(ask, messages.Read):
-                proposer.quorum.ask_all = whole  # type: ignore[method-assign]
+        async def slowly(groups: typing.Any, request: typing.Any, answer: typing.Any) -> typing.Any:
+            found: typing.Any = await whole(groups, request, answer)
+            if isinstance(request, messages.Read):
+                proposer.quorum.call_all = whole  # type: ignore[method-assign]
                 _good(await proposer.change("k", benches.put(b"two", "2")))
             return found
 
-        proposer.quorum.ask_all = slowly  # type: ignore[method-assign]
+        proposer.quorum.call_all = slowly  # type: ignore[method-assign]
         assert _good(await proposer.read("k")).version in (1, 2)
         assert _good(await proposer.read("k")).body == b"two"
 
@@ -445,7 +453,7 @@
 
         slow.copies.keys = overtaken  # type: ignore[method-assign]
         await seating._finish()
-        held = register.decode_set(_good(await fast.read(register.MEMBERS)))
+        held = register.member_set_from_body(_good(await fast.read(register.MEMBERS_KEY)))
         assert held.epoch == 4
 
     loops.run(main())
@@ -479,7 +487,7 @@
         by_node = {n.daemon.voter.disk_id: n for n in bench.nodes}
         lags, holds, lost, spare = (by_node[disk] for disk, _ in every)
         # The fourth is not seated: it is the blank one that waits.
-        spare.daemon.voter._set = register.NOBODY
+        spare.daemon.voter._set = register.EMPTY_MEMBER_SET
         bench.members = register.MemberSet(1, (every[:3],))
         lags.lose_power()
         _good(await bench.proposer("a").change("k", benches.put(b"new", "1")))
@@ -492,10 +500,10 @@
         driver = bench.proposer("driver")
         seating = _seating(bench, "driver", driver)
         for _ in range(10):
-            await seating.tend(bench.addresses, ["driver"])
+            await seating.reconcile(bench.addresses, ["driver"])
             await asyncio.sleep(0.6)
-        assert spare.daemon.voter.seated()
-        assert not driver.members.joint()
+        assert spare.daemon.voter.has_vote()
+        assert not driver.members.is_joint()
         holds.lose_power()
         bench.members = driver.members
         value = _good(await bench.proposer("end").read("k"))
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -22,8 +22,8 @@
 
 def _ballots(fleet: fleets.SimFleet) -> set[typing.Any]:
     # A store that never voted on the layout has no seat for it: a read alone makes none.
-    seats = [core.store.daemon.voter._seats.get("layout") for core in fleet.cores]
-    return {register.ZERO if seat is None else seat.ballot for seat in seats}
+    key_states = [core.store.daemon.voter._key_states.get("layout") for core in fleet.cores]
+    return {register.ZERO_BALLOT if key_state is None else key_state.ballot for key_state in key_states}
 
 
 def test_a_store_that_missed_a_change_is_mended_without_traffic(tmp_path: pathlib.Path) -> None:
@@ -36,7 +36,7 @@
         doc["rules"].append({"path": "/more", "service": "pages"})
         await fleet.apply(doc)
         store.restart()
-        await fleet.until(lambda: store.daemon is not None and store.daemon.voter.seated(), 5, "the store")
+        await fleet.until(lambda: store.daemon is not None and store.daemon.voter.has_vote(), 5, "the store")
         assert len(_ballots(fleet)) > 1
         took = await fleet.until(lambda: len(_ballots(fleet)) == 1, 20, "all copies the same")
         # One sweep comes every recover_s / 3.
@@ -54,15 +54,15 @@
         others = [e.node for e in fleet.edges[:2]] + [c.registry for c in fleet.cores]
 
         def forgotten() -> bool:
-            return all(gone.name not in node.daemon.spread.view for node in others)
+            return all(gone.name not in node.daemon.gossip.view for node in others)
 
         assert await fleet.until(forgotten, 30, "the dead forgotten") < 15.0
         inside = [fleet.edges[0].node.name]
-        fleet.world.wires.cut(inside, [n for n in fleet.world.nodes if n not in inside])
+        fleet.world.links.cut(inside, [n for n in fleet.world.nodes if n not in inside])
         lone = fleet.edges[0].node.daemon
         await fleet.until(lambda: lone.ready() == "reaches no other node", 5, "not ready alone")
         await asyncio.sleep(30.0)
-        fleet.world.wires.heal()
+        fleet.world.links.heal()
         assert await fleet.until(lambda: lone.ready() is None, 15, "ready again") < 5.0
 
     loops.run(main())
@@ -90,7 +90,7 @@
                 node.kill()
                 fleet.world.loop.call_later(1.0, node.restart, context=loops.EMPTY)
 
-            node.points.armed[point] = die
+            node.fault_points.armed[point] = die
 
         for core in fleet.cores:
             arm(core.registry)
@@ -105,7 +105,7 @@
 
         def seated() -> bool:
             voters = [core.store.daemon.voter for core in fleet.cores if core.store.daemon is not None]
-            return len(voters) == 3 and all(v.seated() and not v.members.joint() for v in voters)
+            return len(voters) == 3 and all(v.has_vote() and not v.members.is_joint() for v in voters)
 
         await fleet.until(seated, 40, "the new disk seated")
         assert died
@@ -125,13 +125,13 @@
         fleet.endpoints["pages-0"].plan.fault = "status_502"
         proxy = fleet.edges[0]
         for _ in range(6):
-            await fleet.callers.ask(SMALL.services[0], proxy.web)
+            await fleet.clients.send_request(SMALL.services[0], proxy.web)
         await asyncio.sleep(12.0)
         fresh = fleet.cores[0]
         fresh.registry.restart()
         await fleet.until(lambda: fresh.registry.daemon is not None, 5, "the registry")
-        await fleet.until(lambda: len(fresh.registry.daemon.spread.cores()) == 2, 15, "its fellows")
-        reply = await fleet.outside.web.ask("GET", fresh.web, "/v1/health", [], b"", 5.0)
+        await fleet.until(lambda: len(fresh.registry.daemon.gossip.cores()) == 2, 15, "its fellows")
+        reply = await fleet.outside.web.request("GET", fresh.web, "/v1/health", [], b"", 5.0)
         page = json.loads(reply.body)["services"]["pages"]
         checked = [line["lastChecked"] for side in page.values() for line in side]
         assert len(checked) == 2
@@ -154,7 +154,7 @@
         fleet.world.loop.call_later(1.0, node.restart, context=loops.EMPTY)
         raise OSError("power")
 
-    node.points.armed[point] = dark
+    node.fault_points.armed[point] = dark
 
 
 @pytest.mark.parametrize("point", range(storage.POINT_BEFORE, storage.POINT_OLD_DROPPED + 1))
@@ -170,14 +170,14 @@
             nonlocal passes
             passes += 1
             if passes == 1:
-                store.points.armed[point] = later
+                store.fault_points.armed[point] = later
             else:
                 _dark_at(fleet, store, point, died)
 
-        store.points.armed[point] = later
+        store.fault_points.armed[point] = later
         await fleet.start()
         voters = [core.store for core in fleet.cores]
-        await fleet.until(lambda: all(v.up and v.daemon.voter.seated() for v in voters), 20, "all seated")
+        await fleet.until(lambda: all(v.up and v.daemon.voter.has_vote() for v in voters), 20, "all seated")
         assert died
         # The same for the write by which a sweep mends a copy that lags.
         store.lose_power()
@@ -187,7 +187,7 @@
         await fleet.until(lambda: len(died) > 1, 20, "power lost in a mending write")
         await asyncio.sleep(2.0)
         await fleet.until(lambda: store.up and len(_ballots(fleet)) == 1, 20, "all copies the same")
-        assert not store.flaw
+        assert not store.crash
         got = await fleet.get(fleet.cores[1])
         assert (got.status, got.version) == (200, version)
 
@@ -204,14 +204,14 @@
         fleet = fleets.SimFleet(SMALL, 20 + seed, tmp_path)
         await fleet.start()
         node = fleet.edges[0].node
-        fleet.world.wires.cut([node.name], [n for n in fleet.world.nodes if n != node.name])
+        fleet.world.links.cut([node.name], [n for n in fleet.world.nodes if n != node.name])
         await asyncio.sleep(0.5)
         version = await fleet.apply({**SMALL.layout(), "services": {"pages": {}, "spare": {}}})
         await asyncio.sleep(5.0)
-        asked = await fleet.callers.ask(SMALL.services[0], fleet.edges[0].web)
+        asked = await fleet.clients.send_request(SMALL.services[0], fleet.edges[0].web)
         assert asked.result == 116
-        assert asked.ended - asked.begun < 0.05
-        fleet.world.wires.heal()
+        assert asked.ended_at - asked.started_at < 0.05
+        fleet.world.links.heal()
         while node.daemon.ready() is not None:  # noqa: ASYNC110
             await asyncio.sleep(0.0001)
         assert node.daemon.documents.version("layout") == version
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -101,7 +101,7 @@
         self._parts: asyncio.Queue[bytes] = asyncio.Queue()
         self.other: _End | None = None
 
-    async def read(self, most: int) -> bytes:
+    async def read(self, max_bytes: int) -> bytes:
         return await self._parts.get()
 
     async def write(self, data: bytes) -> None:
@@ -119,14 +119,14 @@
 class _Net:
     """Each dial reaches one ear."""
 
-    def __init__(self, ear: frames.Ear) -> None:
-        self._ear = ear
+    def __init__(self, server: frames.CallServer) -> None:
+        self._server = server
         self._tasks: set[asyncio.Task[None]] = set()
 
-    async def dial(self, address: str, wait: float) -> ports.Connection:
+    async def connect(self, address: str, timeout_s: float) -> ports.Connection:
         one, two = _End(), _End()
         one.other, two.other = two, one
-        self._tasks.add(asyncio.create_task(self._ear.serve(two)))
+        self._tasks.add(asyncio.create_task(self._server.serve(two)))
         return one
 
     async def listen(self, address: str, serve: ports.Serve) -> ports.Listener:
@@ -136,15 +136,15 @@
 def test_both_sides_count_the_same_bytes_by_kind() -> None:
     async def main() -> None:
         async def echo(body: frames.Body) -> frames.Result:
-            return outcome.Good({"back": body["text"]})
+            return outcome.Success({"back": body["text"]})
 
-        here, there = frames.Tally(), frames.Tally()
-        net = _Net(frames.Ear({"echo": echo}, lambda event, what: None, there))
-        caller = frames.Caller(net, here)
+        here, there = frames.CallCounters(), frames.CallCounters()
+        net = _Net(frames.CallServer({"echo": echo}, lambda event, what: None, there))
+        call_client = frames.CallClient(net, here)
         for text in ("a", "b" * 1000):
-            await caller.ask(ports.Address("x"), "echo", {"text": text}, 5.0)
+            await call_client.call(ports.Address("x"), "echo", {"text": text}, 5.0)
         # A kind that nobody serves is told under one name: it is the sender's word.
-        await caller.ask(ports.Address("x"), "nonsense", {}, 5.0)
+        await call_client.call(ports.Address("x"), "nonsense", {}, 5.0)
         await asyncio.sleep(0)
         asked = {k.removeprefix("frames_asked_"): v for k, v in here.counts.items()}
         heard = {k.removeprefix("frames_heard_"): v for k, v in there.counts.items()}
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -24,7 +24,7 @@
         async with fleets.running(TINY, 1) as fleet:
             await fleet.start()
             [proxy] = fleet.proxies
-            flight = asyncio.create_task(fleet.callers.ask(ORDERS, proxy.web, "&work=2"))
+            flight = asyncio.create_task(fleet.clients.send_request(ORDERS, proxy.web, "&work=2"))
 
             def at_work() -> bool:
                 return any(line[0] == "hit" for host in fleet.hosts for line in host.lines())
@@ -37,7 +37,7 @@
                 proxy.tell(signal.SIGHUP)
                 await asyncio.sleep(0.005)
             ask = await flight
-            assert (ask.status, ask.flaw) == (200, "")
+            assert (ask.status, ask.error) == (200, "")
             assert proxy.code == 0
             # Who sits at a terminal has a way to end it at once.
             registry = fleet.cores[0][0]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -22,7 +22,7 @@
 import dykeswitch.simulator.soak.plan as plans
 import dykeswitch.simulator.soak.report as reports
 import dykeswitch.simulator.soak.sizes as sizes
-import dykeswitch.standin.caller as callers
+import dykeswitch.standin.caller as clients
 import dykeswitch.standin.fleet as fleets
 import dykeswitch.standin.port_block as port_block
 import dykeswitch.standin.process as processes
@@ -90,15 +90,15 @@
     assert len(resources.grown(base, _held(60 * 1024**2, 900))) == 1
 
 
-def _stopped(ask: callers.Ask, *hits: tuple[float, str, str]) -> dict[str, list[str]]:
+def _stopped(ask: clients.Request, *hits: tuple[float, str, str]) -> dict[str, list[str]]:
     """What is broken where a caller's connection ended amid the stop of its proxy."""
     story = histories.History(
-        asks=[ask],
-        hits=list(hits),
+        requests=[ask],
+        arrivals=list(hits),
         owners={"orders-0": "orders"},
         stops=[histories.Span("p", 99.0, 101.0)],
         closed=[histories.Span("p", 99.0, 103.0)],
-        calm=90.0,
+        faults_ended_at=90.0,
         end=200.0,
     )
     # One request of a handful: how many excuses cover is not what is judged here.
@@ -106,11 +106,11 @@
 
 
 def test_only_what_crossed_the_close_of_its_connection_is_excused() -> None:
-    ask = callers.Ask("a", "orders", True, 100.0, "p", 100.05, flaw="OSError: broke off")
+    ask = clients.Request("a", "orders", True, 100.0, "p", 100.05, error="OSError: broke off")
     assert _stopped(ask) == {}
     # It was passed on, it was held for long before its connection ended, its proxy was not stopping.
     assert set(_stopped(ask, (100.02, "a", "orders-0"))) == {"not_dropped", "broken_explained"}
-    assert set(_stopped(dataclasses.replace(ask, ended=100.9))) == {"not_dropped", "broken_explained"}
+    assert set(_stopped(dataclasses.replace(ask, ended_at=100.9))) == {"not_dropped", "broken_explained"}
     assert set(_stopped(dataclasses.replace(ask, address="q"))) == {"broken_explained"}
 
 
@@ -185,7 +185,7 @@
         return [sys.executable, "-c", DEAF, *args[3:]] if self.word == "proxy" else args
 
     monkeypatch.setattr(processes.Process, "_args", deaf)
-    monkeypatch.setitem(acts.ACTS, "leave", acts.mannered(leave_share=0.9, leave_within_s=0.05))
+    monkeypatch.setitem(acts.ACTS, "leave", acts.with_behavior(leave_share=0.9, leave_within_s=0.05))
     steps = (plans.Step("leave", 0.0, 1),)
     plan = dataclasses.replace(plans.draw("puddle", 1, 4.0, 1.0, 0), tracks={"callers": steps})
     # Work that outlasts its caller by more than the half second that is allowed.
--- a/tests/test_splits.py
+++ b/tests/test_splits.py
@@ -30,12 +30,12 @@
         await fleet.start()
         await fleet.apply(_split(*weights))
         await asyncio.sleep(1.0)
-        before = len(fleet.hits)
+        before = len(fleet.arrivals)
         for turn in range(400):
             edge = fleet.edges[turn % len(fleet.edges)]
-            reply = await fleet.outside.web.ask("GET", edge.web, f"/both?n={turn}", [], b"", 2.0)
+            reply = await fleet.outside.web.request("GET", edge.web, f"/both?n={turn}", [], b"", 2.0)
             assert reply.status == 200
-        hits = [endpoint for _, _, endpoint in fleet.hits[before:]]
+        hits = [endpoint for _, _, endpoint in fleet.arrivals[before:]]
         assert abs(sum(h.startswith("texts") for h in hits) / len(hits) - share) < 0.08
 
     loops.run(main())
@@ -49,11 +49,11 @@
         await fleet.start()
         await fleet.apply(_split(0, 0))
         await asyncio.sleep(1.0)
-        reply = await fleet.outside.web.ask("GET", fleet.edges[0].web, "/both", [], b"", 2.0)
+        reply = await fleet.outside.web.request("GET", fleet.edges[0].web, "/both", [], b"", 2.0)
         assert reply.status == 503
         assert json.loads(reply.body)["result"] == "no_endpoint"
-        assert reply.head("retry-after") is not None
-        other = await fleet.outside.web.ask("GET", fleet.edges[0].web, "/nowhere", [], b"", 2.0)
+        assert reply.header("retry-after") is not None
+        other = await fleet.outside.web.request("GET", fleet.edges[0].web, "/nowhere", [], b"", 2.0)
         assert other.status == 404
 
     loops.run(main())
--- a/tests/test_stalled_disk.py
+++ b/tests/test_stalled_disk.py
@@ -37,7 +37,7 @@
 
     def __init__(self, disk: ports.Disk) -> None:
         self.disk = disk
-        self.voter = voters.Voter(disk, ports.NoPoints(), random.Random(1))
+        self.voter = voters.Voter(disk, ports.NoFaultPoints(), random.Random(1))
 
     async def start(self) -> None:
         await self.voter.open()
@@ -47,12 +47,12 @@
 
     async def _call(self, ask: messages.Request) -> frames.Body:
         result = await self.voter.kinds()[ask.KIND](messages.encode(ask))
-        assert isinstance(result, outcome.Good), result
+        assert isinstance(result, outcome.Success), result
         return result.value
 
     async def refusal(self, ask: messages.Request) -> str:
         result = await self.voter.kinds()[ask.KIND](messages.encode(ask))
-        assert isinstance(result, outcome.Bad), result
+        assert isinstance(result, outcome.Failure), result
         return result.code.tag
 
     def prepare(self, count: int, key: str = "k") -> messages.Prepare:
@@ -74,7 +74,7 @@
 
     async def state(self) -> frames.Body:
         result = await self.voter.kinds()["state"]({})
-        assert isinstance(result, outcome.Good)
+        assert isinstance(result, outcome.Success)
         return result.value
 
 
@@ -141,7 +141,7 @@
         # One write of three files and two folders, with the folder of the key: no backlog.
         assert disk.syncs - syncs <= 6
         assert (await lone.state())["damaged"] == ""
-        assert (await lone.promise(2)).ballot == register.ZERO
+        assert (await lone.promise(2)).ballot == register.ZERO_BALLOT
 
     loops.run(main())
 
@@ -235,7 +235,7 @@
 
 
 def _ballots(fleet: fleets.SimFleet) -> set[register.Ballot]:
-    return {core.store.daemon.voter._seats["layout"].ballot for core in fleet.cores}
+    return {core.store.daemon.voter._key_states["layout"].ballot for core in fleet.cores}
 
 
 def test_a_store_whose_disk_stalls_from_the_start_stops_when_told(tmp_path: pathlib.Path) -> None:
@@ -264,9 +264,9 @@
         store.disk.spoilt = {"sync_folder": "input/output error"}
         store.start()
         await asyncio.sleep(2.0)
-        assert not store.flaw
+        assert not store.crash
         store.disk.spoilt = {}
-        await fleet.until(lambda: store.daemon.voter.seated(), 5, "the store")
+        await fleet.until(lambda: store.daemon.voter.has_vote(), 5, "the store")
 
     loops.run(main())
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -57,14 +57,14 @@
             shutil.rmtree(root)
         root.mkdir()
         self.disk = disks.SimDisk(root, random.Random(1))
-        self.points = worlds.SimPoints()
+        self.fault_points = worlds.SimFaultPoints()
         self._lazy = lazy
         self.left_out = 0
 
     def open(self) -> tuple[storage.Storage, dict[str, typing.Any]]:
         """The storage of a process that starts, and what it read."""
         self._leave_out_a_sync()
-        opened = storage.Storage(self.disk, self.points)
+        opened = storage.Storage(self.disk, self.fault_points)
         return opened, opened.open()
 
     def _leave_out_a_sync(self) -> None:
@@ -90,7 +90,7 @@
         def stop() -> None:
             raise Stopped
 
-        self.points.armed[point] = stop
+        self.fault_points.armed[point] = stop
         with pytest.raises(Stopped):
             opened.put(KEY, record)
 
@@ -220,7 +220,7 @@
         case.disk.lose_power(choose)
         try:
             lost.append(_read_after(case) != "vote")
-        except storage.Damage:
+        except storage.StorageDamageError:
             lost.append(True)
 
     outcomes(tmp_path, play)
@@ -284,7 +284,7 @@
     opened.put(KEY, 1)
     for step in ("sync_file", "sync_folder"):
         case.disk.spoilt = {step: "no space left on device"}
-        with pytest.raises(storage.NotWritten):
+        with pytest.raises(storage.NotWrittenError):
             opened.put(KEY, 2)
         case.disk.spoilt = {}
         opened.put(KEY, 3)
@@ -300,7 +300,7 @@
         case = Case(tmp_path / "disk")
         opened, _ = case.open()
         case.disk.spoilt = {"sync_folder": "input/output error"}
-        with pytest.raises(storage.NotWritten):
+        with pytest.raises(storage.NotWrittenError):
             opened.put(KEY, "vote")
         case.disk.spoilt = {}
         opened.put(KEY, "vote")
@@ -317,24 +317,24 @@
     case.disk.spoilt = {"rename": "input/output error"}
     with pytest.raises(OSError) as caught:
         opened.put(KEY, 2)
-    assert not isinstance(caught.value, storage.NotWritten)
+    assert not isinstance(caught.value, storage.NotWrittenError)
 
 
 def test_folders_that_are_no_key_are_told_as_damage(tmp_path: pathlib.Path) -> None:
     case = Case(tmp_path / "disk")
     case.open()
     (case.disk.root / "register" / "not-hex").mkdir()
-    with pytest.raises(storage.Damage):
+    with pytest.raises(storage.StorageDamageError):
         case.open()
 
 
 def test_a_real_disk_keeps_the_same_order_of_syncs(tmp_path: pathlib.Path) -> None:
     """The adapter for real disks takes the same steps, so what holds above holds for them."""
     disk: ports.Disk = real.RealDisk(tmp_path)
-    opened = storage.Storage(disk, ports.NoPoints())
+    opened = storage.Storage(disk, ports.NoFaultPoints())
     assert opened.open() == {}
     for number in range(5):
         opened.put(KEY, number)
-    again = storage.Storage(disk, ports.NoPoints())
+    again = storage.Storage(disk, ports.NoFaultPoints())
     assert again.open() == {KEY: 4}
     assert len(list((tmp_path / "register" / KEY.encode().hex()).iterdir())) == 1
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -21,7 +21,7 @@
 )
 LONG_FUNCTIONS: typing.Final = frozenset(
     {
-        "registry/endpoints.py:read_beat",
+        "registry/endpoints.py:read_heartbeat",
         "simulator/scenario.py:day",
     }
 )
