--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -6,25 +6,25 @@
 
 import dykeswitch.simulator.loop as loops
 import dykeswitch.simulator.world as worlds
-import dykeswitch.timeline as timeline
+import dykeswitch.timeline as timelines
 
 
-def _line(name: str) -> timeline.Timeline:
+def _timeline(name: str) -> timelines.Timeline:
     loop = asyncio.get_running_loop()
     assert isinstance(loop, loops.VirtualLoop)
-    return timeline.Timeline(name, worlds.SimClock(loop), 900.0)
+    return timelines.Timeline(name, worlds.SimClock(loop), 900.0)
 
 
-def _up(address: str, born: int) -> timeline.Fields:
+def _up(address: str, born: int) -> timelines.Fields:
     return {"service": "s", "address": address, "zone": "z", "state": "up", "born": [born, "r"]}
 
 
-def _wire(kind: str, key: str, count: int, fields: timeline.Fields, left: float = 100.0) -> timeline.Wire:
+def _wire(kind: str, key: str, count: int, fields: timelines.Fields, left: float = 100.0) -> timelines.Wire:
     return [kind, key, count, "r", fields, left]
 
 
-def _states(line: timeline.Timeline) -> dict[str, str]:
-    return {e.key: e.fields["state"] for e in line.all(timeline.ENDPOINT)}
+def _states(timeline: timelines.Timeline) -> dict[str, str]:
+    return {e.key: e.fields["state"] for e in timeline.all(timelines.ENDPOINT)}
 
 
 def test_a_late_beat_revives_no_one_in_any_order() -> None:
@@ -37,10 +37,10 @@
             _wire("endpoint", "gone", 8, _up("10.0.0.2:1", 2)),
         ]
         for order in itertools.permutations(news):
-            line = _line("x")
+            timeline = _timeline("x")
             for entry in order:
-                line.merge([entry])
-            assert _states(line) == {"old": "displaced", "new": "up", "gone": "left"}
+                timeline.merge([entry])
+            assert _states(timeline) == {"old": "displaced", "new": "up", "gone": "left"}
 
     loops.run(main())
 
@@ -52,10 +52,10 @@
             _wire("mark", "down:e", 4, {"reason": "sound on probe", "by": "r", "clear": True}),
         ]
         for order in itertools.permutations(news):
-            line = _line("x")
+            timeline = _timeline("x")
             for entry in order:
-                line.merge([entry])
-            assert timeline.Marks(line, 5.0).down("e") is None
+                timeline.merge([entry])
+            assert timelines.Marks(timeline, 5.0).mark_of("e") is None
 
     loops.run(main())
 
@@ -64,30 +64,30 @@
     """The prober froze with a result in hand; its slot went to another meanwhile."""
 
     async def main() -> None:
-        line = _line("x")
-        slot = timeline.slot_of("e", 16)
-        line.merge([_wire("fence", str(slot), 5, {"owner": "b", "fence": 2})])
-        late: timeline.Fields = {"reason": "timed out on probe", "clear": False, "by": "r", "slot": slot}
-        line.merge([_wire("mark", "down:e", 99, {**late, "fence": 1})])
-        assert timeline.Marks(line, 5.0).down("e") is None
-        line.merge([_wire("mark", "down:e", 6, {**late, "fence": 2})])
-        assert timeline.Marks(line, 5.0).down("e") is not None
+        timeline = _timeline("x")
+        slot = timelines.slot_of("e", 16)
+        timeline.merge([_wire("fence", str(slot), 5, {"owner": "b", "fence": 2})])
+        late: timelines.Fields = {"reason": "timed out on probe", "clear": False, "by": "r", "slot": slot}
+        timeline.merge([_wire("mark", "down:e", 99, {**late, "fence": 1})])
+        assert timelines.Marks(timeline, 5.0).mark_of("e") is None
+        timeline.merge([_wire("mark", "down:e", 6, {**late, "fence": 2})])
+        assert timelines.Marks(timeline, 5.0).mark_of("e") is not None
 
     loops.run(main())
 
 
 def test_marks_run_out_by_themselves_and_wall_time_plays_no_part() -> None:
     async def main() -> None:
-        one, two = _line("a"), _line("b")
-        marks = timeline.Marks(one, 5.0)
-        marks.set("e", "answered 502", "proxy0")
+        one, two = _timeline("a"), _timeline("b")
+        marks = timelines.Marks(one, 5.0)
+        marks.set_down("e", "answered 502", "proxy0")
         await asyncio.sleep(2.0)
-        two.merge(one.wire_since(0))
-        far = timeline.Marks(two, 5.0)
-        assert far.down("e") is not None
+        two.merge(one.entries_since(0))
+        far = timelines.Marks(two, 5.0)
+        assert far.mark_of("e") is not None
         await asyncio.sleep(3.1)
-        assert marks.down("e") is None
-        assert far.down("e") is None
+        assert marks.mark_of("e") is None
+        assert far.mark_of("e") is None
 
     loops.run(main())
 
@@ -96,14 +96,14 @@
     """Each failure would else be urgent news to the whole fleet."""
 
     async def main() -> None:
-        line = _line("a")
-        marks = timeline.Marks(line, 5.0)
+        timeline = _timeline("a")
+        marks = timelines.Marks(timeline, 5.0)
         told: list[typing.Any] = []
-        line.on_change(told.append)
+        timeline.on_change(told.append)
         for _ in range(200):
-            marks.set("e", "answered 502", "proxy0")
+            marks.set_down("e", "answered 502", "proxy0")
             await asyncio.sleep(0.02)
-        assert marks.down("e") is not None
+        assert marks.mark_of("e") is not None
         assert len(told) <= 2
 
     loops.run(main())
@@ -111,8 +111,8 @@
 
 def test_malformed_entries_change_nothing() -> None:
     async def main() -> None:
-        line = _line("a")
-        line.merge(
+        timeline = _timeline("a")
+        timeline.merge(
             [
                 ["nonsense", "k", 1, "r", {}, 5.0],
                 ["endpoint", "e", 1, "r", {"state": "up"}, 5.0],
@@ -120,7 +120,7 @@
                 ["mark", "down:e", "1", "r", {}, 5.0],
             ]
         )
-        assert line.seq == 0
+        assert timeline.seq == 0
 
     loops.run(main())
 
@@ -129,21 +129,21 @@
     """Else two members hand it back and forth for ever, each a hop's delay behind."""
 
     async def main() -> None:
-        one, two = _line("a"), _line("b")
-        marks = timeline.Marks(one, 5.0)
-        marks.set("e", "broke off", "proxy0")
+        one, two = _timeline("a"), _timeline("b")
+        marks = timelines.Marks(one, 5.0)
+        marks.set_down("e", "broke off", "proxy0")
         await asyncio.sleep(4.99)
-        taken = two.merge(one.wire_since(0))
+        taken = two.merge(one.entries_since(0))
         assert taken == 1
         # Each hop takes 2 ms; the copy travels with what was left when it was sent.
         for _ in range(200):
             for here, there in ((two, one), (one, two)):
-                wire = here.wire_since(0)
+                wire = here.entries_since(0)
                 await asyncio.sleep(0.002)
-                here.tidy()
+                here.remove_expired()
                 there.merge(wire)
-        assert marks.down("e") is None
-        assert two.all(timeline.MARK) == []
+        assert marks.mark_of("e") is None
+        assert two.all(timelines.MARK) == []
         assert (one.seq, two.seq) == (1, 1)
 
     loops.run(main())
@@ -164,22 +164,22 @@
     """With 17,000 endpoints, each beat took 3.5 ms of every member's processor."""
 
     async def main() -> None:
-        line = _line("a")
+        timeline = _timeline("a")
         for n in range(500):
-            line.write("endpoint", f"e{n}", _Looked(_up(f"10.0.{n // 250}.{n % 250}:1", n + 1)), 900.0)
+            timeline.write("endpoint", f"e{n}", _Looked(_up(f"10.0.{n // 250}.{n % 250}:1", n + 1)), 900.0)
         _Looked.count = 0
-        line.write("endpoint", "e7", _Looked(_up("10.0.0.7:1", 8)), 900.0, urgent=False)
+        timeline.write("endpoint", "e7", _Looked(_up("10.0.0.7:1", 8)), 900.0, urgent=False)
         assert _Looked.count < 10
         # An address that was given up belongs to nobody; a new owner displaces nobody there.
-        line.write("endpoint", "e7", _Looked(_up("10.0.9.9:1", 600)), 900.0)
-        line.write("endpoint", "f7", _Looked(_up("10.0.0.7:1", 601)), 900.0)
-        line.write("endpoint", "f9", _Looked(_up("10.0.9.9:1", 602)), 900.0)
-        found = _states(line)
+        timeline.write("endpoint", "e7", _Looked(_up("10.0.9.9:1", 600)), 900.0)
+        timeline.write("endpoint", "f7", _Looked(_up("10.0.0.7:1", 601)), 900.0)
+        timeline.write("endpoint", "f9", _Looked(_up("10.0.9.9:1", 602)), 900.0)
+        found = _states(timeline)
         assert (found["e7"], found["f7"], found["f9"]) == ("displaced", "up", "up")
         await asyncio.sleep(940.0)
-        line.tidy()
-        assert line.held("endpoint") == 0
-        line.write("endpoint", "g", _Looked(_up("10.0.9.9:1", 1)), 900.0)
-        assert _states(line) == {"g": "up"}
+        timeline.remove_expired()
+        assert timeline.count("endpoint") == 0
+        timeline.write("endpoint", "g", _Looked(_up("10.0.9.9:1", 1)), 900.0)
+        assert _states(timeline) == {"g": "up"}
 
     loops.run(main())
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -4,7 +4,7 @@
 import dykeswitch.simulator.worth as worths
 import dykeswitch.standin.shape as shapes
 
-SMALL = shapes.DELTA.smaller(0.2)
+SMALL = shapes.DELTA.scaled_down(0.2)
 
 
 def test_the_same_seed_is_worth_the_same_and_another_way_is_told_apart() -> None:
