--- a/packages/frames/src/dykeswitch/frames/__init__.py
+++ b/packages/frames/src/dykeswitch/frames/__init__.py
@@ -1,10 +1,9 @@
-"""Frames between members: cbor2 with a length, a size cap and a version tag.
+"""Calls between members, sent as CBOR frames with a magic, a version, a length and a size limit.
 
-Each call bears an id that no other call ever has: random bytes drawn by the caller's process
-at its start, and a count. The answer echoes it, and an answer that bears another one ends the
-connection instead of being taken for ours. Members of releases that know no ids are tolerated:
-for them one call at a time goes over a connection, and one that was not answered in time is
-never used again.
+Each call has a unique id: random bytes chosen when the calling process starts, and a counter.
+The reply repeats the id; a reply with another id closes the connection and is never matched to
+the current call. Members of releases without call ids are still supported: only one call at a
+time uses a connection, and a connection whose call timed out is never reused.
 """
 
 import asyncio
@@ -26,9 +25,10 @@
 READ_SIZE: typing.Final = 262144
 MAX_IDLE_CONNECTIONS: typing.Final = 4
 
-# The field of a body that bears the id of its call, which handlers do not see.
+# The field of a frame body that contains the call id; it is removed before the handler sees the body.
 CALL_ID: typing.Final = "call"
-BOOT_SIZE: typing.Final = 8
+# Length in bytes of the random prefix that all call ids of one process share.
+CALL_ID_PREFIX_SIZE: typing.Final = 8
 MAX_CALL_ID_BYTES: typing.Final = 32
 
 Body = dict[str, typing.Any]
@@ -37,32 +37,36 @@
 
 
 class Meter(typing.Protocol):
-    """Told of each call, with the bytes of both its frames."""
+    """Records each call, with the sizes of both its frames in bytes."""
 
-    def record_call(self, side: str, kind: str, sent: int, got: int) -> None: ...
+    def record_call(self, side: str, kind: str, sent_bytes: int, received_bytes: int) -> None:
+        """Records one call; `side` is "asked" for our calls and "heard" for those of others."""
+        ...
 
 
 class NullMeter:
-    """Nobody counts."""
+    """A meter that records nothing."""
 
-    def record_call(self, side: str, kind: str, sent: int, got: int) -> None:
+    def record_call(self, side: str, kind: str, sent_bytes: int, received_bytes: int) -> None:
+        """Does nothing."""
         return None
 
 
 class CallCounters:
-    """Calls and bytes by side ("asked" by us, "heard" from others) and kind."""
+    """A meter that counts calls and bytes by side ("asked" by us, "heard" from others) and kind."""
 
     def __init__(self) -> None:
         self.counts: dict[str, int] = {}
 
-    def record_call(self, side: str, kind: str, sent: int, got: int) -> None:
-        for name, by in (("calls", 1), ("sent_bytes", sent), ("got_bytes", got)):
+    def record_call(self, side: str, kind: str, sent_bytes: int, received_bytes: int) -> None:
+        """Adds one call to the counters of its side and kind."""
+        for name, amount in (("calls", 1), ("sent_bytes", sent_bytes), ("got_bytes", received_bytes)):
             key = f"frames_{side}_{kind}_{name}"
-            self.counts[key] = self.counts.get(key, 0) + by
+            self.counts[key] = self.counts.get(key, 0) + amount
 
 
 class FrameError(Exception):
-    """Bytes that are no frame of ours."""
+    """The peer sent an invalid frame, or a frame is too large to send."""
 
     def __init__(self, failure: outcome.Failure) -> None:
         super().__init__(failure.code.text)
@@ -70,63 +74,66 @@
 
 
 class FrameConnection:
-    """A pipe that carries whole frames."""
+    """A connection that reads and writes whole frames."""
 
     def __init__(self, connection: ports.Connection) -> None:
         self._connection = connection
-        self._held = bytearray()
-        # Bytes of the last frame each way, heads included.
-        self.got = 0
-        self.sent = 0
-        # Whether the member at the other end has echoed an id: then each answer must bear one.
-        self.echoes = False
+        self._buffer = bytearray()
+        # Sizes of the last frame received and sent, including the frame header.
+        self.received_bytes = 0
+        self.sent_bytes = 0
+        # Whether the peer has repeated a call id before: from then on every reply must have one.
+        self.echoes_call_ids = False
 
     async def _fill(self, size: int) -> bool:
-        while len(self._held) < size:
+        while len(self._buffer) < size:
             data = await self._connection.read(READ_SIZE)
             if not data:
                 return False
-            self._held += data
+            self._buffer += data
         return True
 
     async def read(self) -> Body | None:
-        """The next frame, or nothing when the pipe has ended."""
+        """Returns the body of the next frame, or None when the connection has ended."""
         if not await self._fill(HEADER.size):
             return None
-        magic, version, size = HEADER.unpack(bytes(self._held[: HEADER.size]))
+        magic, version, size = HEADER.unpack(bytes(self._buffer[: HEADER.size]))
         if magic != MAGIC:
             raise FrameError(outcome.failure("bad_frame", "not a dykeswitch frame"))
         if version != VERSION:
-            raise FrameError(outcome.failure("other_version", f"version {version}, not {VERSION}"))
-        # The length is checked before a single byte of the body is held.
+            raise FrameError(outcome.failure("other_version", f"frame version {version}, expected {VERSION}"))
+        # The length is checked before any of the body is buffered.
         if size > MAX_FRAME_BYTES:
             raise FrameError(outcome.failure("frame_too_big", f"{size} bytes"))
         if not await self._fill(HEADER.size + size):
             return None
-        data = bytes(self._held[HEADER.size : HEADER.size + size])
-        del self._held[: HEADER.size + size]
-        self.got = HEADER.size + size
+        data = bytes(self._buffer[HEADER.size : HEADER.size + size])
+        del self._buffer[: HEADER.size + size]
+        self.received_bytes = HEADER.size + size
         try:
             body = cbor2.loads(data)
-        except Exception as flaw:
-            # Whatever the library stumbles over in a peer's bytes, it is the peer's frame that is bad.
-            raise FrameError(outcome.failure("bad_frame", f"not cbor: {type(flaw).__name__}")) from flaw
+        except Exception as error:
+            # Bytes from a peer can make cbor2 raise errors of many types; each means an invalid frame.
+            raise FrameError(outcome.failure("bad_frame", f"invalid CBOR: {type(error).__name__}")) from error
         if not isinstance(body, dict) or not isinstance(body.get("kind"), str):
-            raise FrameError(outcome.failure("bad_frame", "no kind"))
+            raise FrameError(outcome.failure("bad_frame", "body is not a map with a kind"))
         return body
 
     async def write(self, body: Body) -> None:
+        """Sends one frame; raises `FrameError` if it exceeds the size limit."""
         data = cbor2.dumps(body)
         if len(data) > MAX_FRAME_BYTES:
             raise FrameError(outcome.failure("frame_too_big", f"{len(data)} bytes"))
-        self.sent = HEADER.size + len(data)
+        self.sent_bytes = HEADER.size + len(data)
         await self._connection.write(HEADER.pack(MAGIC, VERSION, len(data)) + data)
 
     def close(self) -> None:
+        """Closes the underlying connection."""
         self._connection.close()
 
     def ended(self) -> bool:
-        return self._connection.ended() or bool(self._held)
+        """Whether the connection can't be reused: it has ended, or unread bytes are left over."""
+        return self._connection.ended() or bool(self._buffer)
 
 
 def _failure_body(failure: outcome.Failure) -> Body:
@@ -141,7 +148,7 @@
 
 
 def _call_id_of(body: Body) -> Body:
-    """Take the id out of a call: what its answer is to bear, if it bears one itself."""
+    """Removes the call id from a body; returns the fields that the reply has to repeat."""
     if CALL_ID not in body:
         return {}
     call_id = body.pop(CALL_ID)
@@ -151,7 +158,7 @@
 
 
 class CallServer:
-    """Serves calls: one task for each pipe, one call at a time on each."""
+    """Serves calls: one task per connection, and one call at a time on each connection."""
 
     def __init__(
         self,
@@ -164,6 +171,7 @@
         self._meter = meter or NullMeter()
 
     async def serve(self, connection: ports.Connection) -> None:
+        """Answers the calls on one connection until it ends or sends an invalid frame."""
         frames = FrameConnection(connection)
         try:
             while True:
@@ -172,60 +180,60 @@
                     return
                 call_id = _call_id_of(body)
                 await frames.write({**await self._reply(body), **call_id})
-                # A kind that nobody knows is the sender's word: it gets no counter of its own.
+                # Unknown kinds are chosen by the sender, so they share one counter.
                 kind = body["kind"] if body["kind"] in self._kinds else "other"
-                self._meter.record_call("heard", kind, frames.sent, frames.got)
-        except FrameError as flaw:
-            self._note("frame refused", flaw.failure.code.tag)
-            await frames.write(_failure_body(flaw.failure))
+                self._meter.record_call("heard", kind, frames.sent_bytes, frames.received_bytes)
+        except FrameError as error:
+            self._note("frame refused", error.failure.code.tag)
+            await frames.write(_failure_body(error.failure))
         except OSError:
             return
         finally:
             frames.close()
 
     async def _reply(self, body: Body) -> Body:
-        handle = self._kinds.get(body["kind"])
-        if handle is None:
+        handler = self._kinds.get(body["kind"])
+        if handler is None:
             return _failure_body(outcome.failure("no_kind", str(body["kind"])[:80]))
         try:
-            result = await handle(body)
-        except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError) as flaw:
-            # A malformed body is the sender's fault, never a reason to fall over.
-            self._note("call refused", f"{body['kind']}: {type(flaw).__name__}: {flaw}")
-            return _failure_body(outcome.failure("bad_frame", f"{type(flaw).__name__}"))
+            result = await handler(body)
+        except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError) as error:
+            # Handlers raise these on malformed bodies: the call is refused and the server goes on.
+            self._note("call refused", f"{body['kind']}: {type(error).__name__}: {error}")
+            return _failure_body(outcome.failure("bad_frame", f"{type(error).__name__}"))
         if isinstance(result, outcome.Failure):
             return _failure_body(result)
         return {"kind": "good", **result.value}
 
 
 class CallClient:
-    """Makes calls; idle connections are kept for the next call to the same member."""
+    """Makes calls to members, and keeps idle connections for later calls to the same address."""
 
     def __init__(self, net: ports.Network, meter: Meter | None = None) -> None:
         self._net = net
         self._meter = meter or NullMeter()
         self._idle: dict[str, collections.deque[FrameConnection]] = {}
-        self._boot = os.urandom(BOOT_SIZE)
-        self._calls = itertools.count(1)
+        self._call_id_prefix = os.urandom(CALL_ID_PREFIX_SIZE)
+        self._call_counter = itertools.count(1)
 
     def close(self) -> None:
-        """Close the idle connections."""
+        """Closes all idle connections."""
         for connections in self._idle.values():
             for connection in connections:
                 connection.close()
         self._idle.clear()
 
     async def call(self, address: ports.Address, kind: str, body: Body, timeout_s: float) -> Result:
-        """One call, answered or given up on within the wait."""
+        """Makes one call and returns its result, or a failure if no reply came within the timeout."""
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._call(address, {**body, "kind": kind}, timeout_s)
         except TimeoutError:
             return outcome.failure("no_reply", address)
-        except FrameError as flaw:
-            return flaw.failure
-        except OSError as flaw:
-            return outcome.failure("no_reply", f"{address}: {flaw}")
+        except FrameError as error:
+            return error.failure
+        except OSError as error:
+            return outcome.failure("no_reply", f"{address}: {error}")
 
     async def _call(self, address: ports.Address, body: Body, timeout_s: float) -> Result:
         idle = self._idle.setdefault(address, collections.deque())
@@ -234,49 +242,50 @@
             if connection.ended():
                 connection.close()
                 continue
-            result = await self._once(address, connection, body)
-            # A connection kept idle may have died unseen: every call may be repeated
-            # safely, so a fresh connection gets it once more.
+            result = await self._attempt(address, connection, body)
+            # An idle connection may have been closed by the peer without our noticing. All calls
+            # are safe to repeat, so the call is sent again on another connection.
             if result is not None:
                 return result
         connection = FrameConnection(await self._net.connect(address, timeout_s))
-        result = await self._once(address, connection, body)
-        return outcome.failure("no_reply", f"{address}: closed") if result is None else result
+        result = await self._attempt(address, connection, body)
+        return outcome.failure("no_reply", f"{address}: connection closed") if result is None else result
 
     def _next_call_id(self) -> bytes:
-        return self._boot + next(self._calls).to_bytes(6, "big")
+        return self._call_id_prefix + next(self._call_counter).to_bytes(6, "big")
 
-    async def _once(self, address: str, connection: FrameConnection, body: Body) -> Result | None:
-        done = False
-        # Each try has an id of its own, so that a late answer to the first is none to the second.
+    async def _attempt(self, address: str, connection: FrameConnection, body: Body) -> Result | None:
+        reusable = False
+        # Each attempt has its own id, so that a late reply to one attempt is not matched to the next.
         call_id = self._next_call_id()
         try:
             await connection.write({**body, CALL_ID: call_id})
             reply = await connection.read()
             if reply is None:
                 return None
-            # After a frame that could not be read there is no id to echo, and no next call.
-            refused = reply["kind"] == "bad" and CALL_ID not in reply and connection.echoes
+            # A peer that could not read our frame reports it without a call id and then closes the
+            # connection, so this reply is accepted without an id but the connection is not reused.
+            refused = reply["kind"] == "bad" and CALL_ID not in reply and connection.echoes_call_ids
             if not refused:
                 _check_call_id(connection, reply, call_id)
-            done = not refused
-            self._meter.record_call("asked", body["kind"], connection.sent, connection.got)
+            reusable = not refused
+            self._meter.record_call("asked", body["kind"], connection.sent_bytes, connection.received_bytes)
             return _result(reply)
         except OSError:
             return None
         finally:
             idle = self._idle.setdefault(address, collections.deque())
-            if done and len(idle) < MAX_IDLE_CONNECTIONS:
+            if reusable and len(idle) < MAX_IDLE_CONNECTIONS:
                 idle.append(connection)
             else:
                 connection.close()
 
 
 def _check_call_id(connection: FrameConnection, reply: Body, call_id: bytes) -> None:
-    """Refuse an answer to another call, and one without an id from a member that echoes them."""
+    """Raises `FrameError` if a reply has the wrong call id, or none though the peer repeats call ids."""
     if CALL_ID in reply:
         if reply.pop(CALL_ID) != call_id:
-            raise FrameError(outcome.failure("bad_frame", "the answer to another call"))
-        connection.echoes = True
-    elif connection.echoes:
-        raise FrameError(outcome.failure("bad_frame", "an answer without the id of its call"))
+            raise FrameError(outcome.failure("bad_frame", "reply has the id of another call"))
+        connection.echoes_call_ids = True
+    elif connection.echoes_call_ids:
+        raise FrameError(outcome.failure("bad_frame", "reply without a call id"))
--- a/packages/timeline/src/dykeswitch/timeline/__init__.py
+++ b/packages/timeline/src/dykeswitch/timeline/__init__.py
@@ -1,7 +1,7 @@
-"""The shared timeline: entries that merge the same way in whatever order they come.
+"""The replicated timeline: a store of expiring entries that converges in any order of delivery.
 
-An entry is ordered by its stamp, a counter and the id of the member that wrote it.
-Remaining time travels with an entry, never wall time, since clocks jump.
+Entries are ordered by a stamp: a logical counter and the name of the member that wrote the entry.
+An entry is sent with its remaining lifetime and never with a wall time, because wall clocks jump.
 """
 
 import asyncio
@@ -30,14 +30,17 @@
 LAPSED: typing.Final = "lapsed"
 LEFT: typing.Final = "left"
 DISPLACED: typing.Final = "displaced"
-# For which part of the longest life an entry that ended is kept in mind.
+# An expired entry is kept for this share of the longest lifetime, so that late copies can't revive it.
 LINGER_SHARE: typing.Final = 1 / 30
 FINAL_STATES: typing.Final = (LEFT, DISPLACED)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """One fact with its order and the moment it ends by our own clock."""
+    """One entry of the timeline.
+
+    `expiry` is a time of the local clock, `seq` the position in this member's copy of the timeline.
+    """
 
     kind: str
     key: str
@@ -47,14 +50,15 @@
     seq: int = 0
 
     def to_wire(self, now: float) -> Wire:
+        """Returns the entry as it is sent to other members, with its remaining lifetime."""
         return [self.kind, self.key, self.stamp[0], self.stamp[1], self.fields, max(0.0, self.expiry - now)]
 
 
 def _rank(entry: Entry) -> tuple[typing.Any, ...]:
-    """What decides between two entries of one key."""
+    """Returns the precedence of an entry: of two entries with the same key, the higher one is kept."""
     if entry.kind == ENDPOINT:
-        # Having left outranks any beat, however late the beat was written; and what is only
-        # remembered gives way to whatever was heard.
+        # A final state outranks every heartbeat, even one written later. A remembered entry, restored
+        # from the saved endpoint table, ranks below any entry from a heartbeat.
         return (entry.fields["state"] in FINAL_STATES, "remembered" not in entry.fields, entry.stamp)
     if entry.kind == FENCE:
         return (int(entry.fields["fence"]), entry.stamp)
@@ -63,82 +67,88 @@
     return (entry.stamp,)
 
 
-def slot_of(endpoint: str, slots: int) -> int:
-    """The slot of the probe duties that an endpoint's key falls into."""
-    return zlib.crc32(endpoint.encode()) % slots
+def slot_of(key: str, slots: int) -> int:
+    """Maps a key to one of `slots` slots by its hash."""
+    return zlib.crc32(key.encode()) % slots
 
 
 class Timeline:
-    """All entries one member knows, and who waits for news of them."""
+    """One member's copy of the timeline, with notification of changes."""
 
     def __init__(self, name: str, clock: ports.Clock, forget_s: float) -> None:
         self.name = name
         self._clock = self.clock = clock
         self.forget_s = forget_s
-        self._book: collections.OrderedDict[tuple[str, str], Entry] = collections.OrderedDict()
+        # All stored entries, in the order in which they were applied.
+        self._ordered_entries: collections.OrderedDict[tuple[str, str], Entry] = collections.OrderedDict()
         self._by_kind: dict[str, dict[str, Entry]] = {kind: {} for kind in KINDS}
-        # Endpoints by address: to look through all of them at each beat grew with their square.
-        self._at: dict[str, set[str]] = {}
-        self._count = 0
+        # Endpoint keys by address. Without it, each heartbeat searched all endpoints, and the total
+        # cost grew with the square of their number.
+        self._keys_by_address: dict[str, set[str]] = {}
+        self._stamp_counter = 0
+        # Position of the newest entry, and of the newest urgent one.
         self.seq = 0
         self.last_urgent_seq = 0
-        # The newest urgent entry that is no mark: what must reach every proxy by two ways.
+        # Position of the newest urgent entry that is not a mark. Such entries have to reach each
+        # proxy through every core that it polls; marks come from one core only.
         self.last_urgent_seq_except_marks = 0
         self.changed = asyncio.Condition()
-        self._tells: set[asyncio.Task[None]] = set()
-        self._wakers: list[typing.Callable[[Entry], None]] = []
+        self._notify_tasks: set[asyncio.Task[None]] = set()
+        self._listeners: list[typing.Callable[[Entry], None]] = []
 
-    def on_change(self, call: typing.Callable[[Entry], None]) -> None:
-        """Have a function told of each entry that is taken up."""
-        self._wakers.append(call)
+    def on_change(self, listener: typing.Callable[[Entry], None]) -> None:
+        """Registers a function that is called with each entry that is applied."""
+        self._listeners.append(listener)
 
     def get(self, kind: str, key: str) -> Entry | None:
-        """An entry that has not ended."""
+        """Returns the entry of a key, or None if there is none or it has expired."""
         entry = self._by_kind[kind].get(key)
         if entry is None or entry.expiry <= self._clock.now():
             return None
         return entry
 
     def all(self, kind: str) -> list[Entry]:
-        """Every entry of a kind that has not ended."""
+        """Returns all entries of a kind that have not expired."""
         now = self._clock.now()
         return [entry for entry in self._by_kind[kind].values() if entry.expiry > now]
 
     def count(self, kind: str) -> int:
-        """How many entries of a kind are kept, those that ended lately among them."""
+        """Returns how many entries of a kind are stored, including those that expired recently."""
         return len(self._by_kind[kind])
 
     def stamp(self) -> Stamp:
-        """A stamp later than all we have seen."""
-        self._count += 1
-        return (self._count, self.name)
+        """Returns a new stamp, later than all stamps seen so far."""
+        self._stamp_counter += 1
+        return (self._stamp_counter, self.name)
 
-    def write(self, kind: str, key: str, fields: Fields, span: float, urgent: bool = True) -> Entry | None:
-        """Write an entry of our own; nothing if a standing one outranks it."""
-        entry = Entry(kind, key, self.stamp(), fields, self._clock.now() + span)
-        return self._take(entry, urgent)
+    def write(
+        self, kind: str, key: str, fields: Fields, lifetime_s: float, urgent: bool = True
+    ) -> Entry | None:
+        """Writes an entry of this member; returns None if an existing entry outranks it."""
+        entry = Entry(kind, key, self.stamp(), fields, self._clock.now() + lifetime_s)
+        return self._apply(entry, urgent)
 
     def merge(self, raw: typing.Iterable[Wire]) -> int:
-        """Take up what another member sent; returns how much of it was news."""
+        """Applies entries from another member; returns how many of them were new."""
         now = self._clock.now()
-        taken = 0
+        applied = 0
         for wire in raw:
-            # Most of what comes is what we have: it costs no more than a look.
-            if self._have(wire):
+            # Most entries that arrive are known already, so this cheap check comes first.
+            if self._already_has(wire):
                 continue
-            # What one member got wrong must not bring down all that hear of it.
-            if not entries.sound(wire):
+            # A malformed entry from one member must not crash the members that it spreads to.
+            if not entries.is_valid(wire):
                 continue
             kind, key, count, name, fields, left = wire
-            self._count = max(self._count, count)
-            span = min(float(left), self.forget_s)
-            entry = Entry(kind, key, (count, name), fields, now + span)
-            if span > 0 and self._take(entry, None) is not None:
-                taken += 1
-        return taken
-
-    def _have(self, wire: Wire) -> bool:
-        """Whether an entry off the wire is the very one we hold."""
+            self._stamp_counter = max(self._stamp_counter, count)
+            lifetime_s = min(float(left), self.forget_s)
+            entry = Entry(kind, key, (count, name), fields, now + lifetime_s)
+            if lifetime_s > 0 and self._apply(entry, None) is not None:
+                applied += 1
+        return applied
+
+    def _already_has(self, wire: Wire) -> bool:
+        """Whether a received entry is the stored one, by its stamp."""
         if not isinstance(wire, (list, tuple)) or len(wire) != 6:
             return False
         kind, key = wire[0], wire[1]
@@ -147,13 +157,14 @@
         old = self._by_kind.get(kind, {}).get(key)
         return old is not None and old.stamp == (wire[2], wire[3])
 
-    def _take(self, entry: Entry, urgent: bool | None) -> Entry | None:
+    def _apply(self, entry: Entry, urgent: bool | None) -> Entry | None:
+        """Stores an entry that outranks the stored one; `urgent` is worked out where it is None."""
         old = self._by_kind[entry.kind].get(entry.key)
-        # An entry that ran out still outranks its own copies: one of them with a moment
-        # left would else revive it, and members would hand it round for ever.
+        # An expired entry still outranks its own copies. Otherwise a copy with a little lifetime
+        # left would revive it, and members would pass it around forever.
         if old is not None and _rank(entry) <= _rank(old):
             return None
-        if entry.kind == MARK and not self._fence_holds(entry):
+        if entry.kind == MARK and not self._is_fence_current(entry):
             return None
         if urgent is None:
             urgent = _is_urgent(old, entry)
@@ -162,24 +173,24 @@
         self._by_kind[entry.kind][entry.key] = entry
         if entry.kind == ENDPOINT:
             if old is not None and old.fields["address"] != entry.fields["address"]:
-                self._left(old)
-            self._at.setdefault(entry.fields["address"], set()).add(entry.key)
-        self._book[(entry.kind, entry.key)] = entry
-        self._book.move_to_end((entry.kind, entry.key))
+                self._remove_address(old)
+            self._keys_by_address.setdefault(entry.fields["address"], set()).add(entry.key)
+        self._ordered_entries[(entry.kind, entry.key)] = entry
+        self._ordered_entries.move_to_end((entry.kind, entry.key))
         if urgent:
             self.last_urgent_seq = self.seq
             if entry.kind != MARK:
                 self.last_urgent_seq_except_marks = self.seq
-            self._wake()
-        for call in self._wakers:
-            call(entry)
+            self._notify_waiters()
+        for listener in self._listeners:
+            listener(entry)
         if entry.kind == ENDPOINT and entry.fields["state"] in (UP, LAPSED):
-            self._displace(entry)
+            self._displace_at_address(entry)
         return entry
 
-    def _displace(self, fresh: Entry) -> None:
-        """Two ids on one address: the one born later has it, the other is gone."""
-        for key in sorted(self._at[fresh.fields["address"]]):
+    def _displace_at_address(self, fresh: Entry) -> None:
+        """Ensures one endpoint per address: the one registered last keeps it, others are displaced."""
+        for key in sorted(self._keys_by_address[fresh.fields["address"]]):
             other = self._by_kind[ENDPOINT][key]
             if key == fresh.key:
                 continue
@@ -189,36 +200,37 @@
             loser = other if newer else fresh
             self.write(ENDPOINT, loser.key, {**loser.fields, "state": DISPLACED}, self.forget_s)
 
-    def _left(self, entry: Entry) -> None:
-        """An endpoint is no longer at the address of this entry."""
-        keys = self._at[entry.fields["address"]]
+    def _remove_address(self, entry: Entry) -> None:
+        """Removes an endpoint from the index of its address."""
+        keys = self._keys_by_address[entry.fields["address"]]
         keys.discard(entry.key)
         if not keys:
-            del self._at[entry.fields["address"]]
+            del self._keys_by_address[entry.fields["address"]]
 
-    def _fence_holds(self, entry: Entry) -> bool:
-        """A probe result under an older fence than we know of is ignored."""
+    def _is_fence_current(self, entry: Entry) -> bool:
+        """Whether a mark's fence, if it has one, is not outdated; outdated probe results are ignored."""
         slot = entry.fields.get("slot")
         if slot is None:
             return True
         fence = self._by_kind[FENCE].get(str(slot))
         return fence is None or int(entry.fields["fence"]) >= int(fence.fields["fence"])
 
-    def _wake(self) -> None:
-        async def tell() -> None:
+    def _notify_waiters(self) -> None:
+        async def notify() -> None:
             async with self.changed:
                 self.changed.notify_all()
 
-        # The loop holds tasks only weakly: one that is let go of may never run.
-        task = asyncio.get_running_loop().create_task(tell())
-        self._tells.add(task)
-        task.add_done_callback(self._tells.discard)
+        # The event loop keeps only weak references to tasks: without this one, a task may be
+        # garbage-collected before it runs.
+        task = asyncio.get_running_loop().create_task(notify())
+        self._notify_tasks.add(task)
+        task.add_done_callback(self._notify_tasks.discard)
 
     def since(self, seq: int) -> list[Entry]:
-        """What was taken up after a point, oldest first."""
+        """Returns the unexpired entries applied after a position, oldest first."""
         fresh: list[Entry] = []
         now = self._clock.now()
-        for entry in reversed(self._book.values()):
+        for entry in reversed(self._ordered_entries.values()):
             if entry.seq <= seq:
                 break
             if entry.expiry > now:
@@ -229,9 +241,9 @@
     def entries_since(
         self, seq: int, own_only: bool = False, excluding: typing.Container[str] = ()
     ) -> list[Wire]:
-        """What was taken up after a point, for the wire.
+        """Returns the unexpired entries applied after a position, as they are sent to other members.
 
-        `own_only` leaves out what others wrote, `excluding` names kinds that are left out.
+        `own_only` leaves out entries written by others, `excluding` names kinds to leave out.
         """
         now = self._clock.now()
         return [
@@ -241,18 +253,18 @@
         ]
 
     def remove_expired(self) -> None:
-        """Drop entries that ended so long ago that no copy of them can be on its way."""
+        """Removes entries that expired so long ago that no copy of them can still arrive."""
         now = self._clock.now()
-        linger = self.forget_s * LINGER_SHARE
-        for address, entry in list(self._book.items()):
-            if entry.expiry + linger <= now:
-                del self._book[address]
+        linger_s = self.forget_s * LINGER_SHARE
+        for kind_and_key, entry in list(self._ordered_entries.items()):
+            if entry.expiry + linger_s <= now:
+                del self._ordered_entries[kind_and_key]
                 if self._by_kind[entry.kind].pop(entry.key, None) is not None and entry.kind == ENDPOINT:
-                    self._left(entry)
+                    self._remove_address(entry)
 
 
 def _is_urgent(old: Entry | None, entry: Entry) -> bool:
-    """Whether others must hear of a change at once rather than with the next batch."""
+    """Whether a change has to be sent at once rather than with the next batch."""
     if entry.kind == PROXY:
         return False
     if old is None:
@@ -265,12 +277,12 @@
 
 
 def down_key(endpoint: str) -> str:
-    """The source's key of an endpoint's mark."""
+    """Returns the key of an endpoint's mark."""
     return f"down:{endpoint}"
 
 
 class Marks:
-    """The shared list of expiring, reasoned marks on the timeline."""
+    """The marks on the timeline: shared, expiring entries that an endpoint is down, with a reason."""
 
     def __init__(self, timeline: Timeline, mark_s: float) -> None:
         self._timeline = timeline
@@ -278,23 +290,28 @@
         self._mark_s = mark_s
 
     def mark_of(self, endpoint: str) -> Entry | None:
-        """The mark that stands against an endpoint, if one does."""
+        """Returns the current mark against an endpoint, or None."""
         entry = self._timeline.get(MARK, down_key(endpoint))
         if entry is None or entry.fields.get("clear"):
             return None
         return entry
 
-    def set_down(self, endpoint: str, reason: str, by: str, duty: Fields | None = None) -> Entry | None:
-        """Mark an endpoint down for a mark's life."""
-        standing = self.mark_of(endpoint)
-        # A mark in its first half says all there is to say: each failure of a service
-        # that is down would else be news to the whole fleet.
-        if standing is not None and standing.expiry - self._clock.now() > self._mark_s / 2:
+    def set_down(
+        self, endpoint: str, reason: str, by: str, fence_fields: Fields | None = None
+    ) -> Entry | None:
+        """Marks an endpoint as down for the lifetime of a mark.
+
+        `fence_fields` are the slot and fence of the prober, if the mark comes from a probe.
+        """
+        current = self.mark_of(endpoint)
+        # A mark in the first half of its lifetime is not renewed. Otherwise every failure of a
+        # service that is down would send an update to the whole fleet.
+        if current is not None and current.expiry - self._clock.now() > self._mark_s / 2:
             return None
-        fields: Fields = {"reason": reason, "by": by, "clear": False, **(duty or {})}
+        fields: Fields = {"reason": reason, "by": by, "clear": False, **(fence_fields or {})}
         return self._timeline.write(MARK, down_key(endpoint), fields, self._mark_s)
 
-    def clear(self, endpoint: str, by: str, duty: Fields | None = None) -> Entry | None:
-        """A later entry that says the endpoint is open; it outlives what it ends."""
-        fields: Fields = {"reason": "sound on probe", "by": by, "clear": True, **(duty or {})}
+    def clear(self, endpoint: str, by: str, fence_fields: Fields | None = None) -> Entry | None:
+        """Clears an endpoint's mark with a later entry, which lives longer than the mark it clears."""
+        fields: Fields = {"reason": "sound on probe", "by": by, "clear": True, **(fence_fields or {})}
         return self._timeline.write(MARK, down_key(endpoint), fields, self._mark_s * 2)
--- a/packages/timeline/src/dykeswitch/timeline/slots.py
+++ b/packages/timeline/src/dykeswitch/timeline/slots.py
@@ -1,7 +1,7 @@
-"""The slots by which duties are cut: each has one owner at a time, under a fence.
+"""The slots into which probing and lending are divided: each has one owner at a time, under a fence.
 
-The probe's slots come first, then those of lending: for each bucket of services one slot
-for each part of the floor.
+Probe slots come first, then lending slots: each bucket of services has one slot for each part
+of the guaranteed retry tokens (the floor).
 """
 
 import typing
@@ -14,15 +14,15 @@
 
 
 def probe_slot(endpoint: str) -> int:
-    """The slot of the probe duty that an endpoint's key falls into."""
+    """Returns the slot whose owner probes an endpoint."""
     return timelines.slot_of(endpoint, PROBE)
 
 
 def lend_slot(service: str, part: int) -> int:
-    """The slot of the lender of one part of a service's floor."""
+    """Returns the slot whose owner lends one part of a service's floor."""
     return bucket_slots(timelines.slot_of(service, BUCKETS))[part]
 
 
 def bucket_slots(bucket: int) -> list[int]:
-    """The slots of one bucket of services, one for each part."""
+    """Returns the lending slots of a bucket of services, one for each part."""
     return [PROBE + part * BUCKETS + bucket for part in range(PARTS)]
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -128,7 +128,7 @@
     assert len(set(ids)) == 3
     # A caller made anew, as after a restart, begins with other random bytes.
     _, after = _play(tmp_path, [answers], ["a"])
-    assert after[0][frames.CALL_ID][: frames.BOOT_SIZE] != ids[0][: frames.BOOT_SIZE]
+    assert after[0][frames.CALL_ID][: frames.CALL_ID_PREFIX_SIZE] != ids[0][: frames.CALL_ID_PREFIX_SIZE]
 
 
 def test_a_late_answer_is_not_taken_for_the_next_call(tmp_path: pathlib.Path) -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -168,7 +168,7 @@
 
 def _no_fence(patch: pytest.MonkeyPatch) -> None:
     # The prober's own look at its clock covers for the fence: both are taken away.
-    patch.setattr(timelines.Timeline, "_fence_holds", lambda self, entry: True)
+    patch.setattr(timelines.Timeline, "_is_fence_current", lambda self, entry: True)
     patch.setattr(probers.Prober, "_stale", lambda self, begun: False)
 
 
