--- a/packages/outcome/src/dykeswitch/outcome/__init__.py
+++ b/packages/outcome/src/dykeswitch/outcome/__init__.py
@@ -1,4 +1,4 @@
-"""Tagged outcomes and the numbered result codes that every program speaks."""
+"""Success and failure results, and the numbered result codes that all programs share."""
 
 import dataclasses
 import typing
@@ -18,51 +18,51 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Success(typing.Generic[T]):
-    """The work was done and this is what came of it."""
+    """The result of an operation that succeeded."""
 
     value: T
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failure:
-    """The work was not done, or what became of it is unknown."""
+    """The result of an operation that was not done, or whose outcome is unknown."""
 
     code: Code
     detail: str = ""
     faults: tuple[str, ...] = ()
 
     def page(self) -> dict[str, object]:
-        """The JSON body that tells a person or a program what happened."""
-        page: dict[str, object] = {
+        """Returns the JSON body of an error response."""
+        body: dict[str, object] = {
             "code": self.code.number,
             "result": self.code.tag,
             "text": self.code.text,
         }
         if self.detail:
-            page["why"] = fit(self.detail)
+            body["why"] = fit(self.detail)
         if self.faults:
-            page["faults"] = [fit(text) for text in self.faults]
-        return page
+            body["faults"] = [fit(text) for text in self.faults]
+        return body
 
 
 def fit(text: str) -> str:
-    """Text fit to be sent: what somebody gave us may hold halves of letters."""
+    """Returns text with lone surrogates escaped: input may contain them, but UTF-8 cannot encode them."""
     return text.encode("utf-8", "backslashreplace").decode()
 
 
-def _table(*codes: Code) -> dict[str, Code]:
-    # A number or tag used twice would make a log line ambiguous: refuse at import.
-    if len({c.number for c in codes}) != len(codes):
-        raise ValueError("a result code's number is used twice")
-    table = {c.tag: c for c in codes}
-    if len(table) != len(codes):
-        raise ValueError("a result code's tag is used twice")
-    return table
+def _index_by_tag(*codes: Code) -> dict[str, Code]:
+    # A number or tag used twice would make log lines ambiguous, so duplicates fail at import.
+    if len({code.number for code in codes}) != len(codes):
+        raise ValueError("duplicate result code number")
+    by_tag = {code.tag: code for code in codes}
+    if len(by_tag) != len(codes):
+        raise ValueError("duplicate result code tag")
+    return by_tag
 
 
-# 1xx: told to callers. 2xx: endpoints. 3xx: layouts and operators.
-# 4xx: the register. 5xx: between members. 6xx: starting up.
-RESULT_CODES: typing.Final[dict[str, Code]] = _table(
+# 1xx: responses to clients. 2xx: endpoints. 3xx: layouts and operators.
+# 4xx: the register. 5xx: calls between members. 6xx: startup.
+RESULT_CODES: typing.Final[dict[str, Code]] = _index_by_tag(
     Code(101, "no_rule", 404, "no rule sends this request anywhere"),
     Code(102, "no_layout", 503, "no confirmed layout yet; the request did not run"),
     Code(103, "no_endpoint", 503, "no endpoint could take it; the request did not run"),
@@ -113,5 +113,5 @@
 
 
 def failure(tag: str, detail: str = "", faults: tuple[str, ...] = ()) -> Failure:
-    """A bad outcome by its tag."""
+    """Returns the failure with the result code of this tag."""
     return Failure(RESULT_CODES[tag], detail, faults)
