--- a/packages/proxy/src/dykeswitch/proxy/delivery.py
+++ b/packages/proxy/src/dykeswitch/proxy/delivery.py
@@ -134,15 +134,17 @@
             and matching.is_still_ruled(exchange, self.layout, self._config)
         )
 
-    def _patience(self, exchange: exchanges.Exchange) -> patience.Patience:
+    def _patience(self, exchange: exchanges.Exchange) -> patience.AttemptTimeout:
         """How long this attempt may take."""
         left = exchange.expiry - self._clock.now()
         limit = min(exchange.request_s, left)
         if exchange.writing:
-            return patience.Patience(limit, limit, lambda: False)
+            return patience.AttemptTimeout(limit, limit, lambda: False)
         # An attempt that hangs must leave time for the tries that remain.
         first = min(limit, left / max(1, exchange.max_tries - exchange.attempts))
-        return patience.Patience(first, limit, lambda: self.may_try_another(exchange, exchange.attempts + 1))
+        return patience.AttemptTimeout(
+            first, limit, lambda: self.may_try_another(exchange, exchange.attempts + 1)
+        )
 
     def may_try_another(self, exchange: exchanges.Exchange, attempts: int) -> bool:
         """Whether another attempt could be made now after so many, the one at hand among them.
--- a/packages/proxy/src/dykeswitch/proxy/selection.py
+++ b/packages/proxy/src/dykeswitch/proxy/selection.py
@@ -1,6 +1,7 @@
-"""Selection: only among endpoints that no mark stands against, by the finish to be expected.
+"""Selects the unmarked endpoint that is expected to answer a request first.
 
-The source picks any unmarked backend ("How Passive Health Checks Work"); which of them is free.
+The requirements allow any unmarked endpoint ("How Passive Health Checks Work"); the choice among
+them is free.
 """
 
 import dataclasses
@@ -13,70 +14,72 @@
 import dykeswitch.settings as settings
 import dykeswitch.timeline as timelines
 
-# How many replies weigh as much as what is thought of the whole service.
-PRIOR: typing.Final = 4.0
-# How many replies an endpoint's pace is the mean of, about.
-MEMORY: typing.Final = 24.0
-# Two finishes that differ by less are alike: the lot decides, so that proxies do not herd.
-LOT: typing.Final = 0.1
-# What a service is thought to take before any reply came, as a part of an exchange's most.
-FIRST_PACE: typing.Final = 1 / 300
-# Among how many endpoints one is selected, and how many of them are of the own zone at most. The
-# work of a selection, and the connections an endpoint is asked for, stay the same however many
-# endpoints a service has.
-SUBSET_MOST: typing.Final = 16
-SUBSET_NEAR_MOST: typing.Final = 12
-# How many requests' paces one failure of an endpoint counts for, and how many failures at most: a
-# proxy of many sees too little of one endpoint to mark it soon, and others may be as good.
+# Weight of the prior estimate in a mean, in samples.
+PRIOR_WEIGHT: typing.Final = 4.0
+# Approximate number of responses that a decaying mean covers.
+MEAN_SAMPLES: typing.Final = 24.0
+# Random addition to each cost, as a share of the typical service time. Endpoints whose costs differ
+# by less are chosen among at random, so that proxies do not all pick the same one.
+RANDOM_COST_SHARE: typing.Final = 0.1
+# Service time assumed before the first response, as a share of the longest allowed request.
+INITIAL_SERVICE_TIME_SHARE: typing.Final = 1 / 300
+# Number of endpoints that one selection considers, and how many of them may be of the proxy's own
+# zone. The limits keep the work of a selection, and the connections that each endpoint gets,
+# independent of the number of endpoints of a service.
+MAX_SUBSET_SIZE: typing.Final = 16
+MAX_SUBSET_NEAR: typing.Final = 12
+# Cost of one recent failure, in typical service times, and the most failures that count. One proxy
+# of many sees too few requests to an endpoint to mark it soon, and others may be as good.
 FAILURE_COST: typing.Final = 1.0
-FAILURES_MOST: typing.Final = 4.0
-# An endpoint that has just started is thought to be so many times as slow.
-WARM: typing.Final = 1.6
+MAX_FAILURES: typing.Final = 4.0
+# Factor on the service time of an endpoint that has just started.
+WARM_UP_FACTOR: typing.Final = 1.6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pause:
-    """A planned pause as a proxy uses it."""
+    """A planned pause of an endpoint, as a proxy applies it."""
 
     endpoint: str
     reason: str
 
 
 @dataclasses.dataclass(slots=True)
-class Pace:
-    """How long one request takes when it need not wait, in seconds: a mean that forgets."""
+class ServiceTime:
+    """Decaying mean of the time that a request takes without queueing, in seconds."""
 
     total: float = 0.0
     count: float = 0.0
 
-    def add(self, span: float) -> None:
-        fade = 1 - 1 / MEMORY
-        self.total = self.total * fade + span
+    def add(self, duration_s: float) -> None:
+        fade = 1 - 1 / MEAN_SAMPLES
+        self.total = self.total * fade + duration_s
         self.count = self.count * fade + 1
 
     def mean(self, prior: float) -> float:
-        return (self.total + prior * PRIOR) / (self.count + PRIOR)
+        return (self.total + prior * PRIOR_WEIGHT) / (self.count + PRIOR_WEIGHT)
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
-    """What one proxy knows of an endpoint's work."""
-
-    pace: Pace = dataclasses.field(default_factory=Pace)
-    # What others had there when it was last told, when that was, and what they have on the mean.
-    others: float = 0.0
-    at: float = -1e9
-    usual: float = 0.0
+class EndpointState:
+    """What one proxy knows of the load and the failures of an endpoint."""
+
+    service_time: ServiceTime = dataclasses.field(default_factory=ServiceTime)
+    # Requests of other proxies at the endpoint: the last reported number, the time of that report,
+    # and the mean number.
+    other_requests: float = 0.0
+    reported_at: float = -1e9
+    mean_other_requests: float = 0.0
     slots: int = 0
-    # Until when it is slow, having just started.
-    warm: float = -1e9
-    # Failures, which fade, and the moment up to which they have faded.
+    # The endpoint has just started and is slow until this time.
+    warm_until: float = -1e9
+    # The decaying number of failures, and the time up to which it has decayed.
     failures: float = 0.0
     failed_at: float = -1e9
 
 
 class Selector:
-    """Selects an endpoint for a go."""
+    """Selects an endpoint for an attempt."""
 
     def __init__(
         self,
@@ -94,28 +97,28 @@
         self.paused: typing.Callable[[str], str | None] = lambda endpoint: None
         self._services: dict[str, set[str]] = {}
         self._preferences = preference.Preferences(config.name, config.zone)
-        self._seen: dict[str, Seen] = {}
-        self._paces: dict[str, Pace] = {}
-        timeline.on_change(self._note)
+        self._endpoints: dict[str, EndpointState] = {}
+        self._service_times: dict[str, ServiceTime] = {}
+        timeline.on_change(self._on_entry)
 
-    def _note(self, entry: timelines.Entry) -> None:
+    def _on_entry(self, entry: timelines.Entry) -> None:
         if entry.kind != timelines.ENDPOINT:
             return
         for names in self._services.values():
             names.discard(entry.key)
-        self._preferences.note(entry)
+        self._preferences.apply(entry)
         if entry.fields["state"] == timelines.UP:
             self._services.setdefault(str(entry.fields["service"]), set()).add(entry.key)
-            seen = self._seen.setdefault(entry.key, Seen())
-            seen.slots = int(entry.fields.get("slots", 0)) or seen.slots
-            warm = float(entry.fields.get("warm", 0.0))
-            if warm and seen.warm < 0:
-                seen.warm = self._timeline.clock.now() + warm
+            state = self._endpoints.setdefault(entry.key, EndpointState())
+            state.slots = int(entry.fields.get("slots", 0)) or state.slots
+            warm_s = float(entry.fields.get("warm", 0.0))
+            if warm_s and state.warm_until < 0:
+                state.warm_until = self._timeline.clock.now() + warm_s
         elif entry.fields["state"] in timelines.FINAL_STATES:
-            self._seen.pop(entry.key, None)
+            self._endpoints.pop(entry.key, None)
 
     def up(self, service: str) -> list[timelines.Entry]:
-        """Endpoints of a service that neither left, lapsed nor are planned away."""
+        """Return the endpoints of a service that have neither left nor lapsed and are not paused."""
         found = []
         for name in sorted(self._services.get(service, ())):
             entry = self._timeline.get(timelines.ENDPOINT, name)
@@ -124,7 +127,7 @@
         return found
 
     def usable(self, endpoint: timelines.Entry) -> bool:
-        """Whether a selected endpoint may still be sent to."""
+        """Return whether requests may still be sent to a selected endpoint."""
         now = self._timeline.get(timelines.ENDPOINT, endpoint.key)
         return (
             now is not None
@@ -135,38 +138,40 @@
         )
 
     def select(self, service: str, tried: set[str], aim_s: float | None = None) -> timelines.Entry | None:
-        """The endpoint for the next go."""
+        """Return the endpoint for the next attempt of an exchange, or None if there is none."""
         subset = self._subset(service, tried)
         if subset:
-            return self._soonest(service, subset, aim_s)
+            return self._earliest_to_finish(service, subset, aim_s)
         every = self.up(service)
         if any(self._marks.mark_of(e.key) is None for e in every):
-            # The only unmarked ones have been tried by this very exchange.
+            # This exchange has tried all unmarked endpoints already.
             return None
-        # The source leaves open what to do when every endpoint is marked. Sending
-        # nothing would make a wrong mark an outage, so the one whose mark ends
-        # first is asked: each exchange tries it at most once.
-        fresh = [e for e in every if e.key not in tried]
-        if fresh:
-            return min(fresh, key=lambda e: (self._ends(e.key), e.key))
+        # The requirements do not say what to do when every endpoint is marked. Sending nothing
+        # would turn a wrong mark into an outage, so the request goes to the endpoint whose mark
+        # ends first. Each exchange tries an endpoint at most once.
+        untried = [e for e in every if e.key not in tried]
+        if untried:
+            return min(untried, key=lambda e: (self._mark_expires_at(e.key), e.key))
         return None
 
     def has_another(self, service: str, tried: set[str]) -> bool:
-        """Whether there is an unmarked endpoint besides those tried."""
+        """Return whether there is an unmarked endpoint that has not been tried."""
         return bool(self._subset(service, tried))
 
     def _subset(self, service: str, tried: set[str]) -> list[timelines.Entry]:
-        """The first few unmarked endpoints in this proxy's own order of preference."""
-        near = self._first_open(self._preferences.near(service), tried, SUBSET_MOST)
-        far_count = SUBSET_MOST - min(len(near), SUBSET_NEAR_MOST)
-        far = self._first_open(self._preferences.far(service), tried, far_count)
-        return near[: SUBSET_MOST - len(far)] + far
-
-    def _first_open(self, names: typing.Sequence[str], tried: set[str], most: int) -> list[timelines.Entry]:
-        """The first of some endpoints that are up, unmarked, not paused and not tried yet."""
+        """Return the first available endpoints in this proxy's own order of preference."""
+        near = self._first_available(self._preferences.near(service), tried, MAX_SUBSET_SIZE)
+        far_count = MAX_SUBSET_SIZE - min(len(near), MAX_SUBSET_NEAR)
+        far = self._first_available(self._preferences.far(service), tried, far_count)
+        return near[: MAX_SUBSET_SIZE - len(far)] + far
+
+    def _first_available(
+        self, names: typing.Sequence[str], tried: set[str], max_count: int
+    ) -> list[timelines.Entry]:
+        """Return the first of some endpoints that are up, unmarked, not paused and not tried yet."""
         found: list[timelines.Entry] = []
         for name in names:
-            if len(found) == most:
+            if len(found) == max_count:
                 break
             if name in tried:
                 continue
@@ -177,61 +182,66 @@
                 found.append(entry)
         return found
 
-    def _ends(self, endpoint: str) -> float:
+    def _mark_expires_at(self, endpoint: str) -> float:
         mark = self._marks.mark_of(endpoint)
         return mark.expiry if mark is not None else 0.0
 
-    def _soonest(self, service: str, sound: list[timelines.Entry], aim_s: float | None) -> timelines.Entry:
-        """The one that is to finish first; another zone's must be sooner by a part of the aim."""
-        base = self._base(service)
-        far = self._config.far_share * (aim_s if aim_s is not None else base * 4)
+    def _earliest_to_finish(
+        self, service: str, candidates: list[timelines.Entry], aim_s: float | None
+    ) -> timelines.Entry:
+        """Return the endpoint that is expected to finish first.
+
+        An endpoint of another zone has to be faster by a share of the aimed response time.
+        """
+        typical_s = self._typical_s(service)
+        far_cost_s = self._config.far_share * (aim_s if aim_s is not None else typical_s * 4)
 
         def cost(entry: timelines.Entry) -> float:
-            span = self.finish_s(entry, base)
+            cost_s = self.finish_s(entry, typical_s)
             if entry.fields.get("zone") != self._zone:
-                span += far
-            span += base * FAILURE_COST * self.failures(entry.key)
-            return span + base * LOT * self._rng.random()
+                cost_s += far_cost_s
+            cost_s += typical_s * FAILURE_COST * self.failures(entry.key)
+            return cost_s + typical_s * RANDOM_COST_SHARE * self._rng.random()
 
-        return min(sound, key=cost)
+        return min(candidates, key=cost)
 
-    def _base(self, service: str) -> float:
-        """What a request of a service takes, in seconds, as far as we know."""
-        pace = self._paces.get(service)
+    def _typical_s(self, service: str) -> float:
+        """Return the estimated service time of a service's requests, in seconds."""
+        service_time = self._service_times.get(service)
         return (
-            pace.mean(self._config.request_s * FIRST_PACE)
-            if pace is not None
-            else (self._config.request_s * FIRST_PACE)
+            service_time.mean(self._config.request_s * INITIAL_SERVICE_TIME_SHARE)
+            if service_time is not None
+            else (self._config.request_s * INITIAL_SERVICE_TIME_SHARE)
         )
 
-    def waiting(self, endpoint: str, base: float) -> float:
-        """How many requests an endpoint is thought to have at this moment, ours among them."""
+    def waiting(self, endpoint: str, typical_s: float) -> float:
+        """Return the estimated number of requests at an endpoint, this proxy's included."""
         own = self.flights.get(endpoint, 0)
-        seen = self._seen.get(endpoint)
-        if seen is None:
+        state = self._endpoints.get(endpoint)
+        if state is None:
             return own
-        # What was told fades into what is usual as fast as requests come and go.
-        age = self._timeline.clock.now() - seen.at
-        fresh = math.exp(-age / max(base, 1e-3))
-        return own + seen.others * fresh + seen.usual * (1 - fresh)
-
-    def finish_s(self, entry: timelines.Entry, base: float) -> float:
-        """In how many seconds one more request is to be answered there."""
-        seen = self._seen.get(entry.key) or Seen()
-        pace = seen.pace.mean(base)
-        if self._timeline.clock.now() < seen.warm:
-            pace *= WARM
-        # Endpoints that tell no slots are thought to share their strength among all.
-        slots = seen.slots or 1
-        told = max(0.0, float(entry.fields.get("burden", 0.0)))
-        ahead = self.waiting(entry.key, base) + told * slots
-        return pace * (1 + max(0.0, ahead + 1 - slots) / slots)
+        # The reported number decays to the mean within the time that a typical request takes.
+        age_s = self._timeline.clock.now() - state.reported_at
+        fresh = math.exp(-age_s / max(typical_s, 1e-3))
+        return own + state.other_requests * fresh + state.mean_other_requests * (1 - fresh)
+
+    def finish_s(self, entry: timelines.Entry, typical_s: float) -> float:
+        """Return the expected time until an endpoint would answer one more request, in seconds."""
+        state = self._endpoints.get(entry.key) or EndpointState()
+        service_time_s = state.service_time.mean(typical_s)
+        if self._timeline.clock.now() < state.warm_until:
+            service_time_s *= WARM_UP_FACTOR
+        # An endpoint that reports no slots is assumed to share its capacity among all requests.
+        slots = state.slots or 1
+        reported_load = max(0.0, float(entry.fields.get("burden", 0.0)))
+        ahead = self.waiting(entry.key, typical_s) + reported_load * slots
+        return service_time_s * (1 + max(0.0, ahead + 1 - slots) / slots)
 
     def ahead(self, entry: timelines.Entry) -> float:
-        """How many requests are thought to be before one that is sent now."""
-        return self.waiting(entry.key, self._base(str(entry.fields["service"])))
+        """Return the estimated number of requests ahead of one that is sent now."""
+        return self.waiting(entry.key, self._typical_s(str(entry.fields["service"])))
 
-    # What replies teach.
+    # Learning from attempts.
 
     def begun(self, endpoint: str) -> None:
         self.flights[endpoint] = self.flights.get(endpoint, 0) + 1
@@ -243,48 +253,53 @@
         else:
             self.flights.pop(endpoint, None)
 
-    def learn(self, endpoint: timelines.Entry, span: float, ahead: float, load: adapters.Load | None) -> None:
-        """A reply came after a span (seconds), with so many ahead of it when it was sent."""
+    def learn(
+        self, endpoint: timelines.Entry, duration_s: float, ahead: float, load: adapters.Load | None
+    ) -> None:
+        """Record a response, its duration, and the number of requests ahead when it was sent."""
         service = str(endpoint.fields["service"])
-        seen = self._seen.get(endpoint.key)
-        if seen is None:
+        state = self._endpoints.get(endpoint.key)
+        if state is None:
             return
-        slots = load.slots if load is not None else seen.slots or 1
-        work = span / (1 + max(0.0, ahead + 1 - slots) / max(1, slots))
-        seen.pace.add(work)
-        self._paces.setdefault(service, Pace()).add(work)
+        slots = load.slots if load is not None else state.slots or 1
+        service_time_s = duration_s / (1 + max(0.0, ahead + 1 - slots) / max(1, slots))
+        state.service_time.add(service_time_s)
+        self._service_times.setdefault(service, ServiceTime()).add(service_time_s)
         if load is not None:
-            # Our own exchange is still counted in flight, and done there.
+            # This exchange is done at the endpoint, but is still counted as in flight here.
             own = self.flights.get(endpoint.key, 1) - 1
-            seen.others = max(0.0, load.running + load.waiting - own)
-            seen.usual += (seen.others - seen.usual) / MEMORY
-            seen.at = self._timeline.clock.now()
-            seen.slots = max(1, load.slots)
+            state.other_requests = max(0.0, load.running + load.waiting - own)
+            state.mean_other_requests += (state.other_requests - state.mean_other_requests) / MEAN_SAMPLES
+            state.reported_at = self._timeline.clock.now()
+            state.slots = max(1, load.slots)
 
     def full(self, endpoint: str) -> None:
-        """It turned a request away: its queue is full for about as long as a request takes."""
-        seen = self._seen.get(endpoint)
-        if seen is not None:
-            seen.others = max(seen.others, (seen.slots or 1) * 4.0)
-            seen.at = self._timeline.clock.now()
+        """Record that an endpoint turned a request away because its queue is full.
+
+        The endpoint counts as full for about as long as a request takes.
+        """
+        state = self._endpoints.get(endpoint)
+        if state is not None:
+            state.other_requests = max(state.other_requests, (state.slots or 1) * 4.0)
+            state.reported_at = self._timeline.clock.now()
 
     def failed(self, endpoint: str) -> None:
-        """A go to it failed: for a while others that are about as good go first."""
-        seen = self._seen.get(endpoint)
-        if seen is not None:
-            seen.failures = min(FAILURES_MOST, self.failures(endpoint) + 1)
-            seen.failed_at = self._timeline.clock.now()
+        """Record a failed attempt: for a while, endpoints that are about as good are preferred."""
+        state = self._endpoints.get(endpoint)
+        if state is not None:
+            state.failures = min(MAX_FAILURES, self.failures(endpoint) + 1)
+            state.failed_at = self._timeline.clock.now()
 
     def failures(self, endpoint: str) -> float:
-        """The failures of an endpoint that still count; half of them after a mark's life."""
-        seen = self._seen.get(endpoint)
-        if seen is None or not seen.failures:
+        """Return the decaying number of failures of an endpoint; the half-life is a mark's lifetime."""
+        state = self._endpoints.get(endpoint)
+        if state is None or not state.failures:
             return 0.0
-        age = self._timeline.clock.now() - seen.failed_at
-        faded: float = 0.5 ** (age / self._config.mark_s)
-        return seen.failures * faded
+        age_s = self._timeline.clock.now() - state.failed_at
+        faded: float = 0.5 ** (age_s / self._config.mark_s)
+        return state.failures * faded
 
     def open_in(self, service: str, now: float) -> float:
-        """Seconds until the first of a service's marks runs out."""
-        ends = [self._ends(e.key) - now for e in self.up(service)]
-        return min((s for s in ends if s > 0), default=0.0)
+        """Return the seconds until the first mark on an endpoint of a service expires."""
+        times_left_s = [self._mark_expires_at(e.key) - now for e in self.up(service)]
+        return min((s for s in times_left_s if s > 0), default=0.0)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -293,9 +293,9 @@
 def test_a_proxy_keeps_to_a_subset_that_does_not_grow_with_the_service() -> None:
     zones = {f"e{n}": f"far{n % 4}" if n % 5 else "near" for n in range(300)}
     found = _selects_from("p", zones)
-    assert len(found) == selection.SUBSET_MOST
+    assert len(found) == selection.MAX_SUBSET_SIZE
     near = {name for name in found if zones[name] == "near"}
-    assert len(near) == selection.SUBSET_NEAR_MOST
+    assert len(near) == selection.MAX_SUBSET_NEAR
 
 
 def test_subsets_of_many_proxies_spread_over_all_endpoints() -> None:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -141,13 +141,13 @@
 
 
 def _deaf_to_leaving(patch: pytest.MonkeyPatch) -> None:
-    note = selection.Selector._note
+    note = selection.Selector._on_entry
 
     def deaf(self: typing.Any, entry: typing.Any) -> None:
         if entry.fields.get("state") != "left":
             note(self, entry)
 
-    patch.setattr(selection.Selector, "_note", deaf)
+    patch.setattr(selection.Selector, "_on_entry", deaf)
     patch.setattr(selection.Selector, "up", _up_of_all)
     patch.setattr(selection.Selector, "usable", lambda self, entry: True)
 
