--- a/packages/proxy/src/dykeswitch/proxy/budget.py
+++ b/packages/proxy/src/dykeswitch/proxy/budget.py
@@ -1,4 +1,4 @@
-"""The budget of extra go's: what this proxy may spend of what registries lend."""
+"""The budget of extra attempts: the retry tokens that registries lend to this proxy."""
 
 import collections
 import math
@@ -6,108 +6,111 @@
 
 import dykeswitch.settings as settings
 
-# Fractions of coins that are no more than rounding.
-CRUMB: typing.Final = 1e-9
+# Fractions of a token up to this are rounding errors.
+ROUNDING_TOLERANCE: typing.Final = 1e-9
 
 
 class Loan(typing.NamedTuple):
-    """Coins of one part of a service's floor, ours until a moment of our own clock."""
+    """Tokens of one part of a service's floor, lent until a time on this proxy's clock."""
 
-    coins: int
-    end: float
+    tokens: int
+    expires_at: float
 
 
-def _nobody() -> None:
-    """Nobody borrows for this service yet."""
+def _ignore() -> None:
+    """Do nothing: no borrower is attached to the budget yet."""
 
 
 class Budget:
-    """Extra go's toward one service.
+    """Budget of extra attempts for one service.
 
-    Each extra go owes a coin. A request pays a share of one back, and what is not paid
-    back falls away once it has left the window. As no more is ever owed than is lent, in
-    any window: extras <= share x requests in the window + what all proxies may owe.
+    Each extra attempt incurs a debt of one token. A request pays back a share of a token, and a debt
+    that is not paid back lapses once it has left the window. The debt never exceeds the tokens that
+    are lent, so in any window: extra attempts <= share x requests in the window + the most that all
+    proxies may owe.
     """
 
     def __init__(self, config: settings.Settings, borrowing_since: typing.Callable[[], float | None]) -> None:
         self._share = config.extra_share
         self._attempt_counts_s = config.attempt_counts_s
-        # Since when we borrow at all, if we do.
+        # Returns the time since when this proxy borrows, or None.
         self._borrowing_since = borrowing_since
         self._loans: dict[int, Loan] = {}
-        # When each coin was spent, and how much of it is owed; the oldest first.
-        self._owed: collections.deque[tuple[float, float]] = collections.deque()
-        self._sum = 0.0
+        # The time of each extra attempt and its debt that is left, the oldest first.
+        self._debts: collections.deque[tuple[float, float]] = collections.deque()
+        self._total_debt = 0.0
         self.requests = 0
         self.taken = 0
         self.refused = 0
-        # Called when a loan is missed; and whether the next request is to call it.
-        self.stir: typing.Callable[[], None] = _nobody
+        # Called when a loan is needed. While `idle` is set, the next request calls it as well.
+        self.wake_borrower: typing.Callable[[], None] = _ignore
         self.idle = True
 
     def request(self) -> None:
-        """A caller's request came in for the service."""
+        """Record a client's request for the service."""
         self.requests += 1
         if self.idle:
             self.idle = False
-            self.stir()
+            self.wake_borrower()
         left = self._share
-        # The newest first: the oldest will fall away by itself before long.
-        while self._owed and left > CRUMB:
-            at, owed = self._owed.pop()
-            paid = min(owed, left)
+        # Newest debts first, since the oldest ones will soon lapse without a payment.
+        while self._debts and left > ROUNDING_TOLERANCE:
+            spent_at, debt = self._debts.pop()
+            paid = min(debt, left)
             left -= paid
-            self._sum -= paid
-            if owed - paid > CRUMB:
-                self._owed.append((at, owed - paid))
+            self._total_debt -= paid
+            if debt - paid > ROUNDING_TOLERANCE:
+                self._debts.append((spent_at, debt - paid))
 
     def affords(self, now: float) -> bool:
-        """Whether one more extra attempt could be paid for now."""
-        return self._borrowing_since() is not None and self.owed(now) + 1 <= self.lent(now) + CRUMB
+        """Return whether the budget covers one more extra attempt."""
+        return (
+            self._borrowing_since() is not None and self.owed(now) + 1 <= self.lent(now) + ROUNDING_TOLERANCE
+        )
 
     def take(self, now: float) -> bool:
-        """Whether one more extra go may be made, and if so it is counted."""
+        """Spend a token on an extra attempt; return False if the budget does not cover it."""
         if not self.affords(now):
             self.refused += 1
-            self.stir()
+            self.wake_borrower()
             return False
         self.taken += 1
-        self._owed.append((now, 1.0))
-        self._sum += 1.0
-        if self._sum + 1 > self.lent(now) + CRUMB:
-            # That was the last one: the next should find another.
-            self.stir()
+        self._debts.append((now, 1.0))
+        self._total_debt += 1.0
+        if self._total_debt + 1 > self.lent(now) + ROUNDING_TOLERANCE:
+            # That was the last token: borrow more for the next extra attempt.
+            self.wake_borrower()
         return True
 
     def owed(self, now: float) -> float:
-        """Coins spent within the window that no request has paid back."""
-        while self._owed and now - self._owed[0][0] >= self._attempt_counts_s:
-            self._sum -= self._owed.popleft()[1]
-        if not self._owed:
-            self._sum = 0.0
-        return self._sum
+        """Return the tokens spent within the window that no request has paid back."""
+        while self._debts and now - self._debts[0][0] >= self._attempt_counts_s:
+            self._total_debt -= self._debts.popleft()[1]
+        if not self._debts:
+            self._total_debt = 0.0
+        return self._total_debt
 
     def lent(self, now: float) -> int:
-        """Coins lent to us now, by all lenders together."""
+        """Return the tokens that all lenders together lend to this proxy now."""
         return sum(self.part(part, now) for part in self._loans)
 
     def part(self, part: int, now: float) -> int:
-        """Coins of one part lent to us now."""
+        """Return the tokens of one part that are lent to this proxy now."""
         loan = self._loans.get(part)
-        return loan.coins if loan is not None and now < loan.end else 0
+        return loan.tokens if loan is not None and now < loan.expires_at else 0
 
-    def lend(self, part: int, coins: int, end: float) -> None:
-        """Take up a loan of one part, in place of the one before."""
-        if coins:
-            self._loans[part] = Loan(coins, end)
+    def lend(self, part: int, tokens: int, expires_at: float) -> None:
+        """Replace the loan of one part."""
+        if tokens:
+            self._loans[part] = Loan(tokens, expires_at)
         else:
             self._loans.pop(part, None)
 
     def bound(self, part: int, now: float) -> int:
-        """How much of one part's coins we hold ourselves to from now on, until we hear of a loan.
+        """Return the most tokens of one part that this proxy may owe until the next loan arrives.
 
-        What we owe beyond all that is lent to us now was lent by some part that shrank or ended
-        since. Nobody knows which: it is told to each.
+        A debt beyond the current loans goes back to a loan that has shrunk or ended since. It is not
+        known which part that was, so the excess is reported to the lender of each part.
         """
-        over = math.ceil(self.owed(now) - self.lent(now) - CRUMB)
-        return self.part(part, now) + max(0, over)
+        excess = math.ceil(self.owed(now) - self.lent(now) - ROUNDING_TOLERANCE)
+        return self.part(part, now) + max(0, excess)
--- a/packages/proxy/src/dykeswitch/proxy/headers.py
+++ b/packages/proxy/src/dykeswitch/proxy/headers.py
@@ -70,7 +70,9 @@
         # An endpoint's own "come back" without a promise: it may have run the
         # request, and a caller who obeys would run it twice.
         headers = [(k, v) for k, v in headers if k != b"retry-after"]
-    elif exchange.status in soundness.FREE and not any(k == b"retry-after" for k, _ in headers):
+    elif exchange.status in soundness.TOLERATED_BY_STATUS and not any(
+        k == b"retry-after" for k, _ in headers
+    ):
         # Given up on, and nothing of it runs any more: say when to come back.
         headers.append((b"retry-after", adapter.retry_after(come_back_s())))
     bodiless = exchange.method == "HEAD" or exchange.status in (204, 304) or exchange.status < 200
--- a/packages/proxy/src/dykeswitch/proxy/pool.py
+++ b/packages/proxy/src/dykeswitch/proxy/pool.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints: kept while idle, and proven before they carry an exchange."""
+"""Pool of idle connections to endpoints, each verified before it carries an exchange."""
 
 import asyncio
 import typing
@@ -11,8 +11,7 @@
 import dykeswitch.soundness.connection as connections
 import dykeswitch.timeline as timelines
 
-# How many idle connections to one endpoint are kept.
-IDLE_MOST: typing.Final = 16
+MAX_IDLE_PER_ENDPOINT: typing.Final = 16
 
 
 class ConnectionPool:
@@ -30,13 +29,13 @@
         self._clock = machine.clock
         self._timeline = timeline
         self._header_names = names
-        # For how long connections may rest, by what resets taught.
+        # How long connections may stay idle, learned from connections that were reset.
         self.rests = resting.RestLimits(config.mark_s)
         self._idle: dict[str, list[connections.EndpointConnection]] = {}
         timeline.on_change(self._on_entry)
 
     def _on_entry(self, entry: timelines.Entry) -> None:
-        """Connections to an endpoint that is leaving, gone or moved are closed at once."""
+        """Close idle connections to an endpoint that is leaving, is gone or has moved."""
         if entry.kind != timelines.ENDPOINT:
             return
         for connection in self._idle.get(entry.key, []):
@@ -46,34 +45,38 @@
             self._idle.pop(entry.key, None)
 
     async def connect(
-        self, entry: timelines.Entry, service: str, probe: str, expiry: float
+        self, entry: timelines.Entry, service: str, probe: str, deadline: float
     ) -> connections.EndpointConnection:
-        """A proven connection to an endpoint, kept or fresh; raises `connections.EndpointConnectionError`."""
+        """Return a verified connection to an endpoint, from the pool or new.
+
+        Raises:
+            connections.EndpointConnectionError: There is no such connection, or the deadline passed.
+        """
         address = str(entry.fields["address"])
         now = self._clock.now()
-        held = self._idle.get(entry.key, [])
-        while held:
-            connection = held.pop()
-            stale = self._stale(connection, service, now)
+        idle = self._idle.get(entry.key, [])
+        while idle:
+            connection = idle.pop()
+            stale = self._may_be_closed(connection, service, now)
             if not connection.usable() or connection.address != address or stale:
                 connection.close()
                 continue
-            connection.rested_s = now - connection.used
-            # A pipe that lay idle may by now lead to whoever took the address over without
-            # our hearing of it: only a fresh proof tells, or the id that the request bears.
-            if now - connection.used < self._config.drain_s / 4 or self._config.proof == "header":
+            connection.rested_s = now - connection.last_used_at
+            # Another endpoint may have taken over the address of an idle connection before this
+            # proxy is informed of it. Only a new probe, or the id in the request, detects that.
+            if now - connection.last_used_at < self._config.drain_s / 4 or self._config.proof == "header":
                 return connection
-            if await self._still_proven(connection, probe, max(0.0, expiry - self._clock.now())):
+            if await self._verify_again(connection, probe, max(0.0, deadline - self._clock.now())):
                 return connection
         connect_timeout_s = self._config.connect_timeout_s
         try:
-            async with asyncio.timeout(expiry - self._clock.now()):
+            async with asyncio.timeout(deadline - self._clock.now()):
                 if self._config.proof == "header":
-                    names = self._header_names.exchange
+                    exchange_header = self._header_names.exchange
                     return await connections.open_connection(
-                        self._net, self._clock, entry.key, address, connect_timeout_s, names
+                        self._net, self._clock, entry.key, address, connect_timeout_s, exchange_header
                     )
-                wait = self._config.probe_timeout_s
+                probe_timeout_s = self._config.probe_timeout_s
                 return await connections.open_verified(
                     self._net,
                     self._clock,
@@ -81,60 +84,65 @@
                     address,
                     probe,
                     connect_timeout_s,
-                    wait,
+                    probe_timeout_s,
                     self._header_names,
                 )
-        except TimeoutError as flaw:
-            # It had less time than a dial and a probe have: that says nothing of the endpoint.
-            raise connections.EndpointConnectionError("expired", False) from flaw
+        except TimeoutError as error:
+            # Connecting and probing had less time than their own timeouts, so the failure says
+            # nothing about the endpoint.
+            raise connections.EndpointConnectionError("expired", False) from error
 
-    def _stale(self, connection: connections.EndpointConnection, service: str, now: float) -> bool:
-        """Whether the endpoint may be about to close an idle connection, or have forgotten it."""
-        rested_s = now - connection.used
-        told = connection.idle_s is not None and rested_s > connection.idle_s / 2
-        return told or rested_s > self.rests.longest(service, now)
+    def _may_be_closed(self, connection: connections.EndpointConnection, service: str, now: float) -> bool:
+        """Return whether the endpoint may soon close an idle connection, or may have dropped it."""
+        idle_for_s = now - connection.last_used_at
+        near_timeout = connection.idle_s is not None and idle_for_s > connection.idle_s / 2
+        return near_timeout or idle_for_s > self.rests.longest(service, now)
 
-    async def _still_proven(
-        self, connection: connections.EndpointConnection, probe: str, left: float
+    async def _verify_again(
+        self, connection: connections.EndpointConnection, probe: str, time_left_s: float
     ) -> bool:
-        """Prove an idle pipe anew; one that fails is closed, and judged by a fresh one."""
+        """Probe an idle connection again, and return whether it may be used.
+
+        A connection that fails is closed. The caller then opens a new one, which shows whether the
+        endpoint itself has failed.
+        """
         try:
-            async with asyncio.timeout(min(self._config.probe_timeout_s, left)):
+            async with asyncio.timeout(min(self._config.probe_timeout_s, time_left_s)):
                 if (
                     await connections.verify(connection, probe, self._header_names.served_by) is None
                     and connection.usable()
                 ):
                     return True
-        except TimeoutError as flaw:
-            # It hangs: a fresh pipe would only hang as long again.
+        except TimeoutError as error:
+            # The endpoint hangs: a new connection would only wait as long again.
             connection.close()
-            hurried = left < self._config.probe_timeout_s
+            deadline_passed = time_left_s < self._config.probe_timeout_s
             raise connections.EndpointConnectionError(
-                "expired" if hurried else soundness.PROBE_TIMED_OUT, False
-            ) from flaw
+                "expired" if deadline_passed else soundness.PROBE_TIMED_OUT, False
+            ) from error
         except connections.EndpointConnectionError:
             pass
         connection.close()
         return False
 
-    def put_back(self, connection: connections.EndpointConnection, sound: bool) -> None:
+    def put_back(self, connection: connections.EndpointConnection, healthy: bool) -> None:
         """Keep a connection for the next exchange, or close it."""
         entry = self._timeline.get(timelines.ENDPOINT, connection.endpoint)
-        held = self._idle.setdefault(connection.endpoint, [])
-        stays = entry is not None and entry.fields["state"] == timelines.UP
-        if sound and stays and connection.usable() and len(held) < IDLE_MOST:
-            connection.used = self._clock.now()
-            held.append(connection)
+        idle = self._idle.setdefault(connection.endpoint, [])
+        is_up = entry is not None and entry.fields["state"] == timelines.UP
+        if healthy and is_up and connection.usable() and len(idle) < MAX_IDLE_PER_ENDPOINT:
+            connection.last_used_at = self._clock.now()
+            idle.append(connection)
         else:
             connection.close()
 
     def idle(self) -> int:
-        """How many usable connections lie idle."""
-        return sum(1 for held in self._idle.values() for connection in held if connection.usable())
+        """Return the number of usable idle connections."""
+        return sum(1 for idle in self._idle.values() for connection in idle if connection.usable())
 
     def close(self) -> None:
         """Close every idle connection."""
-        for held in self._idle.values():
-            for connection in held:
+        for idle in self._idle.values():
+            for connection in idle:
                 connection.close()
         self._idle.clear()
--- a/packages/soundness/src/dykeswitch/soundness/__init__.py
+++ b/packages/soundness/src/dykeswitch/soundness/__init__.py
@@ -1,18 +1,18 @@
-"""Soundness: what counts as a failure, and the words a mark gives for it."""
+"""Health of endpoints: which outcomes count as failures, and the reasons that marks give for them."""
 
 import dataclasses
 import typing
 
-# The header by which an endpoint names itself, on probes and on replies alike.
+# The header in which an endpoint states its id, in responses to probes and to requests alike.
 SERVED_BY: typing.Final = b"dykeswitch-served-by"
-# The status by which another endpoint than the one meant refuses a request unrun.
+# The status with which an endpoint refuses, without running it, a request for another endpoint.
 MISDIRECTED: typing.Final = 421
-# The status by which callers are told that nothing ran and nothing will.
+# The status that tells clients that the request has not run and will not run.
 UNAVAILABLE: typing.Final = 503
 
-# Plain reasons, as operators read them.
+# Reasons of failures, in plain words for operators.
 REFUSED: typing.Final = "refused the pipe"
-NO_ROAD: typing.Final = "could not be reached"
+UNREACHABLE: typing.Final = "could not be reached"
 TIMED_OUT: typing.Final = "timed out"
 BROKE_OFF: typing.Final = "broke off"
 GARBAGE: typing.Final = "answered garbage"
@@ -20,97 +20,103 @@
 WRONG_ID_REPLY: typing.Final = "wrong identity on reply"
 PROBE_TIMED_OUT: typing.Final = "timed out on probe"
 UNFRAMED: typing.Final = "answered without a length"
-OTHERS_REPLY: typing.Final = "answered another exchange"
+FOREIGN_RESPONSE: typing.Final = "answered another exchange"
 
-# The source marks on any non-200. Here only these say that the endpoint itself
-# fails; the rest speak of the request. How many are free before a mark is set:
-# a 500 may be one caller's poison, a promised refusal is an endpoint's own care.
-# A 504 may be a caller in a hurry.
-FREE: typing.Final[dict[int, int]] = {500: 1, 502: 0, 503: 0, 504: 2}
-FREE_PROMISED: typing.Final = 2
+# Statuses that count as failures of the endpoint, with the number of failures in a row that are
+# tolerated before a mark is set. The requirements mark on any status but 200, but only these say that
+# the endpoint itself fails; the others concern the request. One client's harmful request may cause a
+# 500, and a client's short timeout a 504. A refusal that promises not to have run the request may be
+# an endpoint that protects itself.
+TOLERATED_BY_STATUS: typing.Final[dict[int, int]] = {500: 1, 502: 0, 503: 0, 504: 2}
+TOLERATED_PROMISED: typing.Final = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fault:
-    """One failure of an endpoint: the reason and how many are free before a mark."""
+    """One failure of an endpoint: its reason, and the failures tolerated before a mark is set."""
 
     reason: str
-    free: int = 0
+    tolerated: int = 0
 
 
 def status_fault(status: int, promised: bool) -> Fault | None:
-    """Whether a reply's status counts against the endpoint."""
-    free = FREE.get(status)
-    if free is None:
+    """Return the fault that a response's status stands for, or None if it is no failure."""
+    tolerated = TOLERATED_BY_STATUS.get(status)
+    if tolerated is None:
         return None
-    return Fault(f"answered {status}", max(free, FREE_PROMISED) if promised else free)
+    return Fault(f"answered {status}", max(tolerated, TOLERATED_PROMISED) if promised else tolerated)
 
 
-# How many failures in a row mark an endpoint, of those that load or a caller may cause. That one
-# could not be reached in time may lie in our own link: full, it would fail for all endpoints alike.
-SOFT_FREE: typing.Final = 2
-SOFT: typing.Final = frozenset({NO_ROAD, TIMED_OUT, BROKE_OFF, GARBAGE, OTHERS_REPLY, UNFRAMED})
-# Failures mixed with successes mark it too, where they are many and this part of all.
-MIXED_LEAST: typing.Final = 4.0
-MIXED_SHARE: typing.Final = 0.25
+# Failures that load or a client may cause, and how many of them in a row are tolerated. An endpoint
+# that could not be reached in time is one of them: the cause may be this machine's own link, which
+# fails for all endpoints alike when it is full.
+TOLERATED_TRANSIENT: typing.Final = 2
+TRANSIENT: typing.Final = frozenset({UNREACHABLE, TIMED_OUT, BROKE_OFF, GARBAGE, FOREIGN_RESPONSE, UNFRAMED})
+# Failures between successes mark an endpoint as well, if there are at least this many and they are
+# more than this share of all attempts.
+MIN_MIXED_FAILURES: typing.Final = 4.0
+MIXED_FAILURE_SHARE: typing.Final = 0.25
 
 
 def flaw_fault(reason: str) -> Fault:
-    """A go that brought no reply: what it counts for."""
-    return Fault(reason, SOFT_FREE if reason in SOFT else 0)
+    """Return the fault that an attempt without a response stands for."""
+    return Fault(reason, TOLERATED_TRANSIENT if reason in TRANSIENT else 0)
 
 
 @dataclasses.dataclass(slots=True)
-class Tally:
-    """One endpoint's record: failures in a row, and failures and replies that fade."""
+class EndpointRecord:
+    """Recent outcomes of one endpoint: failures in a row, and decaying counts."""
 
-    row: int = 0
-    failed: float = 0.0
-    total: float = 0.0
-    at: float = 0.0
+    consecutive_failures: int = 0
+    failures: float = 0.0
+    attempts: float = 0.0
+    updated_at: float = 0.0
 
 
 class Strikes:
-    """Judges from one proxy's exchanges when failures of an endpoint earn it a mark.
+    """Decides from one proxy's exchanges when an endpoint has failed often enough for a mark.
 
-    A row of failures longer than what is free marks it; so does a share of failures that is too
-    high, since an endpoint that fails one in three never fails many in a row.
+    An endpoint is marked when it fails more often in a row than is tolerated. It is also marked when
+    too large a share of its attempts fails, since an endpoint that fails one request in three never
+    fails many in a row.
     """
 
-    def __init__(self, span: float) -> None:
-        self._span = span
-        self._tallies: dict[str, Tally] = {}
-
-    def _tally(self, endpoint: str, now: float) -> Tally:
-        tally = self._tallies.get(endpoint)
-        if tally is None:
-            # An endpoint that is long gone must not be kept in mind for ever.
-            if len(self._tallies) > 4096:
-                self._tallies.clear()
-            tally = self._tallies[endpoint] = Tally(at=now)
-        age = now - tally.at
-        if age > self._span:
-            tally.row = 0
-        fade = 0.5 ** (age / self._span)
-        tally.failed *= fade
-        tally.total *= fade
-        tally.at = now
-        return tally
+    def __init__(self, half_life_s: float) -> None:
+        self._half_life_s = half_life_s
+        self._records: dict[str, EndpointRecord] = {}
+
+    def _record(self, endpoint: str, now: float) -> EndpointRecord:
+        record = self._records.get(endpoint)
+        if record is None:
+            # Endpoints that are long gone must not be remembered forever.
+            if len(self._records) > 4096:
+                self._records.clear()
+            record = self._records[endpoint] = EndpointRecord(updated_at=now)
+        age_s = now - record.updated_at
+        if age_s > self._half_life_s:
+            record.consecutive_failures = 0
+        fade = 0.5 ** (age_s / self._half_life_s)
+        record.failures *= fade
+        record.attempts *= fade
+        record.updated_at = now
+        return record
 
     def sound(self, endpoint: str, now: float) -> None:
-        """Note a reply that does not count against the endpoint."""
-        tally = self._tally(endpoint, now)
-        tally.row = 0
-        tally.total += 1
+        """Record a response that does not count against the endpoint."""
+        record = self._record(endpoint, now)
+        record.consecutive_failures = 0
+        record.attempts += 1
 
     def strike(self, endpoint: str, fault: Fault, now: float) -> bool:
-        """Note a failure; true once it is past the free ones."""
-        tally = self._tally(endpoint, now)
-        tally.row += 1
-        tally.failed += 1
-        tally.total += 1
-        mixed = tally.failed >= MIXED_LEAST and tally.failed > MIXED_SHARE * tally.total
-        if tally.row > fault.free or mixed:
-            del self._tallies[endpoint]
+        """Record a failure, and return whether the endpoint is to be marked."""
+        record = self._record(endpoint, now)
+        record.consecutive_failures += 1
+        record.failures += 1
+        record.attempts += 1
+        mixed = (
+            record.failures >= MIN_MIXED_FAILURES and record.failures > MIXED_FAILURE_SHARE * record.attempts
+        )
+        if record.consecutive_failures > fault.tolerated or mixed:
+            del self._records[endpoint]
             return True
         return False
--- a/packages/soundness/src/dykeswitch/soundness/connection.py
+++ b/packages/soundness/src/dykeswitch/soundness/connection.py
@@ -1,4 +1,4 @@
-"""Pipes to endpoints: proven before use, never silently opened again."""
+"""HTTP connections to endpoints, verified before use and never reopened silently."""
 
 import asyncio
 import dataclasses
@@ -14,14 +14,14 @@
 Headers = list[tuple[bytes, bytes]]
 
 READ_SIZE: typing.Final = 65536
-PROBE_MOST: typing.Final = 65536
-# How many replies that belong to earlier exchanges are passed over before ours.
-SURPLUS_MOST: typing.Final = 3
-ENDED_BY: typing.Final = re.compile(rb"timeout\s*=\s*(\d{1,6})")
+MAX_PROBE_BODY_BYTES: typing.Final = 65536
+# Responses to earlier exchanges that are skipped before the expected one.
+MAX_SURPLUS_RESPONSES: typing.Final = 3
+KEEP_ALIVE_TIMEOUT: typing.Final = re.compile(rb"timeout\s*=\s*(\d{1,6})")
 
 
 class EndpointConnectionError(Exception):
-    """A go that failed, with what it means for endpoint and caller."""
+    """A failed attempt, with the reason and whether any byte of the request was sent."""
 
     def __init__(self, reason: str, sent: bool) -> None:
         super().__init__(reason)
@@ -31,47 +31,52 @@
 
 @dataclasses.dataclass(slots=True)
 class ResponseHead:
-    """The head of an endpoint's reply."""
+    """The status and the headers of an endpoint's response."""
 
     status: int
     headers: Headers
 
     def get(self, name: bytes) -> bytes | None:
-        """The first header field of a name in lower case, if there is one."""
+        """Return the value of the first header with a name (in lower case), if there is one."""
         return adapter.find(self.headers, name)
 
 
 class EndpointConnection:
-    """One pipe to one endpoint by its registered id; one exchange at a time."""
+    """A connection to one endpoint, by its registered id, for one exchange at a time."""
 
     def __init__(
-        self, endpoint: str, address: str, connection: ports.Connection, now: float, exchange: bytes = b""
+        self,
+        endpoint: str,
+        address: str,
+        connection: ports.Connection,
+        now: float,
+        exchange_header: bytes = b"",
     ) -> None:
         self.endpoint = endpoint
         self.address = address
         self._connection = connection
-        self._talk = h11.Connection(h11.CLIENT)
-        # The field that names the exchange in request and reply, where there is one.
-        self._exchange = exchange
-        self._asked: list[bytes] = []
-        self._wrote = 0
-        self.used = now
-        # For how long it had lain idle before the exchange at hand, in seconds; 0 on a fresh one.
+        self._http = h11.Connection(h11.CLIENT)
+        # The header with the id of the exchange in requests and responses, or empty.
+        self._exchange_header = exchange_header
+        self._answered_ids: list[bytes] = []
+        self._bytes_sent = 0
+        self.last_used_at = now
+        # How long the connection was idle before the current exchange, in seconds; 0 on a new one.
         self.rested_s = 0.0
-        # Until when the endpoint said that it keeps an idle pipe, in seconds of idling.
+        # How long the endpoint keeps an idle connection, in seconds, as it has stated.
         self.idle_s: float | None = None
         self.closed = False
 
     def close(self) -> None:
-        """Close it for good."""
+        """Close the connection for good."""
         self.closed = True
         self._connection.close()
 
     def usable(self) -> bool:
-        """Whether another exchange may be sent on it."""
+        """Return whether another exchange may be sent on this connection."""
         if self.closed or self._connection.ended():
             return False
-        return self._talk.our_state is h11.IDLE and not self._talk.trailing_data[0]
+        return self._http.our_state is h11.IDLE and not self._http.trailing_data[0]
 
     async def send(
         self,
@@ -79,139 +84,150 @@
         target: bytes,
         headers: Headers,
         body: bytes,
-        gate: typing.Callable[[], bool] | None = None,
+        may_send: typing.Callable[[], bool] | None = None,
     ) -> ResponseHead:
-        """Send a request and bring back the reply's head."""
-        before = self._wrote
-        name = adapter.find(headers, self._exchange) if self._exchange else None
+        """Send a request and return the head of its response.
+
+        Raises:
+            EndpointConnectionError: The attempt failed, or `may_send` returned false.
+        """
+        sent_before = self._bytes_sent
+        exchange_id = adapter.find(headers, self._exchange_header) if self._exchange_header else None
         try:
-            data = self._request(method, target, headers, body)
-            # Right before the first byte: may it still go?
-            if gate is not None and not gate():
+            data = self._serialize_request(method, target, headers, body)
+            # The last check, right before the first byte.
+            if may_send is not None and not may_send():
                 raise EndpointConnectionError("no longer to be used", sent=False)
-            self._wrote += len(data)
+            self._bytes_sent += len(data)
             await self._connection.write(data)
-            return await self._head(name, method, target, headers)
+            return await self._read_head(exchange_id, method, target, headers)
         except EndpointConnectionError:
             self.close()
             raise
-        except h11.ProtocolError as flaw:
+        except h11.ProtocolError as error:
             self.close()
-            raise EndpointConnectionError(soundness.GARBAGE, self._wrote > before) from flaw
-        except OSError as flaw:
+            raise EndpointConnectionError(soundness.GARBAGE, self._bytes_sent > sent_before) from error
+        except OSError as error:
             self.close()
-            raise EndpointConnectionError(soundness.BROKE_OFF, self._wrote > before) from flaw
+            raise EndpointConnectionError(soundness.BROKE_OFF, self._bytes_sent > sent_before) from error
         except BaseException:
-            # Timed out or cancelled: what comes on this pipe later belongs to nobody.
+            # Timed out or cancelled: nobody waits for what this connection may still receive.
             self.close()
             raise
 
-    def _request(self, method: str, target: bytes, headers: Headers, body: bytes) -> bytes:
-        data = self._talk.send(h11.Request(method=method, target=target, headers=headers)) or b""
+    def _serialize_request(self, method: str, target: bytes, headers: Headers, body: bytes) -> bytes:
+        data = self._http.send(h11.Request(method=method, target=target, headers=headers)) or b""
         if body:
-            data += self._talk.send(h11.Data(data=body)) or b""
-        return data + (self._talk.send(h11.EndOfMessage()) or b"")
+            data += self._http.send(h11.Data(data=body)) or b""
+        return data + (self._http.send(h11.EndOfMessage()) or b"")
 
-    async def _event(self) -> typing.Any:
-        """The next event of the reply; a pipe that ends within it raises."""
+    async def _next_event(self) -> typing.Any:
+        """Return the next event of the response; raise if the connection ends within it."""
         while True:
-            event = self._talk.next_event()
+            event = self._http.next_event()
             if event is not h11.NEED_DATA:
                 return event
             data = await self._connection.read(READ_SIZE)
-            if not data and self._talk.their_state is h11.SEND_RESPONSE:
+            if not data and self._http.their_state is h11.SEND_RESPONSE:
                 raise EndpointConnectionError(soundness.BROKE_OFF, True)
             try:
-                self._talk.receive_data(data)
+                self._http.receive_data(data)
                 if not data:
-                    event = self._talk.next_event()
+                    event = self._http.next_event()
                     if event is not h11.NEED_DATA:
                         return event
                     raise EndpointConnectionError(soundness.BROKE_OFF, True)
-            except h11.RemoteProtocolError as flaw:
+            except h11.RemoteProtocolError as error:
                 if not data:
-                    raise EndpointConnectionError(soundness.BROKE_OFF, True) from flaw
+                    raise EndpointConnectionError(soundness.BROKE_OFF, True) from error
                 raise
 
-    async def _head(self, name: bytes | None, method: str, target: bytes, headers: Headers) -> ResponseHead:
-        for _ in range(SURPLUS_MOST):
-            event = await self._event()
+    async def _read_head(
+        self, exchange_id: bytes | None, method: str, target: bytes, headers: Headers
+    ) -> ResponseHead:
+        """Return the head of the response to the current exchange, after any surplus responses."""
+        for _ in range(MAX_SURPLUS_RESPONSES):
+            event = await self._next_event()
             while isinstance(event, h11.InformationalResponse):
-                event = await self._event()
+                event = await self._next_event()
             if not isinstance(event, h11.Response):
                 raise EndpointConnectionError(soundness.BROKE_OFF, True)
             head = ResponseHead(
                 event.status_code, [(bytes(k), bytes(v)) for k, v in event.headers.raw_items()]
             )
-            if self._answers(head, name):
-                self._learn(head)
+            if self._is_expected(head, exchange_id):
+                self._read_keep_alive(head)
                 return head
-            # A second reply to an exchange of before: the id tells it from ours, which
+            # A second response to an earlier exchange, as its id shows. The expected response
             # is still to come.
-            await self._pass_over(method, target, headers)
-        raise EndpointConnectionError(soundness.OTHERS_REPLY, True)
-
-    def _answers(self, head: ResponseHead, name: bytes | None) -> bool:
-        """Whether a reply answers the exchange of a name, and not an earlier one; raises for neither."""
-        named = head.get(self._exchange) if self._exchange else None
-        if named is not None and named == name:
-            self._asked = [*self._asked[-SURPLUS_MOST:], named]
+            await self._skip_response(method, target, headers)
+        raise EndpointConnectionError(soundness.FOREIGN_RESPONSE, True)
+
+    def _is_expected(self, head: ResponseHead, exchange_id: bytes | None) -> bool:
+        """Return True for a response to the current exchange, and False for one to an earlier exchange.
+
+        Raises:
+            EndpointConnectionError: The response belongs to neither.
+        """
+        response_id = head.get(self._exchange_header) if self._exchange_header else None
+        if response_id is not None and response_id == exchange_id:
+            self._answered_ids = [*self._answered_ids[-MAX_SURPLUS_RESPONSES:], response_id]
             return True
-        if named in self._asked:
+        if response_id in self._answered_ids:
             return False
-        # Where replies name their exchanges, one that names none is nobody's: a surplus one may
-        # come in the place of ours.
-        if name is not None and (named is not None or self._asked):
-            raise EndpointConnectionError(soundness.OTHERS_REPLY, True)
+        # Once responses on this connection state ids, a response without one cannot be assigned: it
+        # may be a surplus response in place of the expected one. Nor can a response with an unknown id.
+        if exchange_id is not None and (response_id is not None or self._answered_ids):
+            raise EndpointConnectionError(soundness.FOREIGN_RESPONSE, True)
         return True
 
-    async def _pass_over(self, method: str, target: bytes, headers: Headers) -> None:
-        """Read to the end of a reply that is not ours, and look for ours behind it."""
-        while not isinstance(event := await self._event(), h11.EndOfMessage):
+    async def _skip_response(self, method: str, target: bytes, headers: Headers) -> None:
+        """Read a surplus response to its end, and prepare to read the expected one behind it."""
+        while not isinstance(event := await self._next_event(), h11.EndOfMessage):
             if not isinstance(event, h11.Data):
                 raise EndpointConnectionError(soundness.BROKE_OFF, True)
-        rest, over = self._talk.trailing_data
-        self._talk = h11.Connection(h11.CLIENT)
-        # As if just sent: the bytes themselves went out before.
-        self._request(method, target, [(k, v) for k, v in headers if k != b"content-length"], b"")
-        if rest or over:
-            self._talk.receive_data(rest)
-
-    def _learn(self, head: ResponseHead) -> None:
-        told = ENDED_BY.search(head.get(b"keep-alive") or b"")
-        if told is not None:
-            self.idle_s = float(told.group(1))
+        rest, eof = self._http.trailing_data
+        self._http = h11.Connection(h11.CLIENT)
+        # Puts the new protocol state where it is after sending; the bytes were sent before.
+        self._serialize_request(method, target, [(k, v) for k, v in headers if k != b"content-length"], b"")
+        if rest or eof:
+            self._http.receive_data(rest)
+
+    def _read_keep_alive(self, head: ResponseHead) -> None:
+        match = KEEP_ALIVE_TIMEOUT.search(head.get(b"keep-alive") or b"")
+        if match is not None:
+            self.idle_s = float(match.group(1))
 
     def wrote_since(self, mark: int) -> bool:
-        """Whether any byte was sent after a count taken with `wrote`."""
-        return self._wrote > mark
+        """Return whether any byte was sent after an earlier result of `wrote`."""
+        return self._bytes_sent > mark
 
     def wrote(self) -> int:
-        """How many bytes were sent so far."""
-        return self._wrote
+        """Return the number of bytes sent so far."""
+        return self._bytes_sent
 
     async def parts(self) -> typing.AsyncIterator[bytes]:
-        """The reply's body; raises when it is cut short."""
+        """Yield the body of the response; raise if it is incomplete."""
         try:
             while True:
-                event = await self._event()
+                event = await self._next_event()
                 if isinstance(event, h11.Data):
                     yield bytes(event.data)
                 elif isinstance(event, h11.EndOfMessage):
                     break
                 else:
                     raise EndpointConnectionError(soundness.BROKE_OFF, True)
-            # Only now is the pipe free for another exchange.
-            if self._talk.our_state is h11.DONE and self._talk.their_state is h11.DONE:
-                self._talk.start_next_cycle()
+            # Another exchange may use the connection only now.
+            if self._http.our_state is h11.DONE and self._http.their_state is h11.DONE:
+                self._http.start_next_cycle()
             else:
                 self.close()
-        except h11.ProtocolError as flaw:
+        except h11.ProtocolError as error:
             self.close()
-            raise EndpointConnectionError(soundness.BROKE_OFF, True) from flaw
-        except OSError as flaw:
+            raise EndpointConnectionError(soundness.BROKE_OFF, True) from error
+        except OSError as error:
             self.close()
-            raise EndpointConnectionError(soundness.BROKE_OFF, True) from flaw
+            raise EndpointConnectionError(soundness.BROKE_OFF, True) from error
         except BaseException:
             self.close()
             raise
@@ -220,7 +236,7 @@
 async def verify(
     connection: EndpointConnection, path: str, served_by: bytes = soundness.SERVED_BY
 ) -> str | None:
-    """Probe on this very pipe; the reason it is not sound, or nothing."""
+    """Probe the endpoint on this connection; return why the probe failed, or None if it succeeded."""
     headers = [
         (b"host", connection.address.encode()),
         (b"user-agent", b"dykeswitch-probe"),
@@ -230,7 +246,7 @@
     size = 0
     async for part in connection.parts():
         size += len(part)
-        if size > PROBE_MOST:
+        if size > MAX_PROBE_BODY_BYTES:
             return "answered too much on probe"
     if head.status != 200:
         return f"answered {head.status} on probe"
@@ -245,17 +261,18 @@
     endpoint: str,
     address: str,
     connect_timeout_s: float,
-    exchange: bytes = b"",
+    exchange_header: bytes = b"",
 ) -> EndpointConnection:
-    """A fresh pipe that has shown nothing yet but that somebody is there."""
+    """Open a connection without verifying it: all it shows is that something listens there."""
     try:
-        raw = await net.connect(ports.address_of(address), connect_timeout_s)
-    except ConnectionRefusedError as flaw:
-        raise EndpointConnectionError(soundness.REFUSED, False) from flaw
-    except (OSError, TimeoutError, ports.AddressError) as flaw:
-        # One that says no address is out of reach: that ends this attempt and nothing else.
-        raise EndpointConnectionError(soundness.NO_ROAD, False) from flaw
-    return EndpointConnection(endpoint, address, raw, clock.now(), exchange)
+        raw_connection = await net.connect(ports.address_of(address), connect_timeout_s)
+    except ConnectionRefusedError as error:
+        raise EndpointConnectionError(soundness.REFUSED, False) from error
+    except (OSError, TimeoutError, ports.AddressError) as error:
+        # An endpoint with an invalid address cannot be reached. That ends this attempt and has no
+        # further effect.
+        raise EndpointConnectionError(soundness.UNREACHABLE, False) from error
+    return EndpointConnection(endpoint, address, raw_connection, clock.now(), exchange_header)
 
 
 async def open_verified(
@@ -265,23 +282,23 @@
     address: str,
     path: str,
     connect_timeout_s: float,
-    probe_s: float,
+    probe_timeout_s: float,
     names: adapter.HeaderNames | None = None,
 ) -> EndpointConnection:
-    """A fresh pipe that has shown it leads to the registered id."""
+    """Open a connection, and verify with a probe that it leads to the registered endpoint."""
     served_by = names.served_by if names is not None else soundness.SERVED_BY
     connection = await open_connection(
         net, clock, endpoint, address, connect_timeout_s, names.exchange if names is not None else b""
     )
     try:
-        async with asyncio.timeout(probe_s):
+        async with asyncio.timeout(probe_timeout_s):
             reason = await verify(connection, path, served_by)
-    except TimeoutError as flaw:
+    except TimeoutError as error:
         connection.close()
-        raise EndpointConnectionError(soundness.PROBE_TIMED_OUT, False) from flaw
-    except EndpointConnectionError as flaw:
+        raise EndpointConnectionError(soundness.PROBE_TIMED_OUT, False) from error
+    except EndpointConnectionError as error:
         connection.close()
-        raise EndpointConnectionError(f"{flaw.reason} on probe", False) from flaw
+        raise EndpointConnectionError(f"{error.reason} on probe", False) from error
     except BaseException:
         connection.close()
         raise
--- a/packages/standin/src/dykeswitch/standin/light_web.py
+++ b/packages/standin/src/dykeswitch/standin/light_web.py
@@ -44,7 +44,7 @@
         now = asyncio.get_running_loop().time()
         while idle and connection is None:
             held = idle.pop(0) if self.oldest_first else idle.pop()
-            if held.usable() and now - held.used <= self.rest_most_s:
+            if held.usable() and now - held.last_used_at <= self.rest_most_s:
                 connection = held
             else:
                 held.close()
@@ -63,7 +63,7 @@
         head = await connection.send(method, path.encode(), raw, body)
         data = b"".join([part async for part in connection.parts()])
         if connection.usable():
-            connection.used = asyncio.get_running_loop().time()
+            connection.last_used_at = asyncio.get_running_loop().time()
             idle.append(connection)
         found = [(k.decode("latin-1").lower(), v.decode("latin-1")) for k, v in head.headers]
         return ports.Response(head.status, found, data)
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -82,7 +82,7 @@
         connection = _connection(Script(_reply("strange", "1")))
         with pytest.raises(connections.EndpointConnectionError) as flaw:
             await _ask(connection, "one")
-        assert flaw.value.reason == soundness.OTHERS_REPLY and flaw.value.sent
+        assert flaw.value.reason == soundness.FOREIGN_RESPONSE and flaw.value.sent
         assert not connection.usable()
 
     asyncio.run(main())
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -284,7 +284,7 @@
 
 
 def _takes_any_answer(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(connections.EndpointConnection, "_answers", lambda self, head, name: True)
+    patch.setattr(connections.EndpointConnection, "_is_expected", lambda self, head, exchange_id: True)
 
 
 def _keeps_heartbeats_to_itself(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -393,12 +393,12 @@
 
 
 def _counts_from_the_answer(patch: pytest.MonkeyPatch) -> None:
-    settle = borrowers.Borrower._settle
+    settle = borrowers.Borrower._apply_loan
 
     def late(self: borrowers.Borrower, wish: typing.Any, budget: typing.Any, coins: int, end: float) -> None:
         settle(self, wish, budget, coins, self._clock.now() + self._config.loan_duration_s)
 
-    patch.setattr(borrowers.Borrower, "_settle", late)
+    patch.setattr(borrowers.Borrower, "_apply_loan", late)
 
 
 def _spent_is_over_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -620,4 +620,4 @@
 
 @pytest.mark.parametrize("span", [10**400, -1, True, "3", None, float("nan")])
 def test_an_odd_span_of_a_loan_is_none(span: object) -> None:
-    assert borrowers._span({"span": span}, 7.5) == (7.5 if span == 10**400 else 0.0)
+    assert borrowers._loan_duration_s({"span": span}, 7.5) == (7.5 if span == 10**400 else 0.0)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -209,7 +209,7 @@
         async def proven(self: pools.ConnectionPool, connection: object, probe: str, left: float) -> bool:
             return True
 
-        monkeypatch.setattr(pools.ConnectionPool, "_still_proven", proven)
+        monkeypatch.setattr(pools.ConnectionPool, "_verify_again", proven)
 
     async def work(fleet: fleets.SimFleet) -> None:
         if not guarded:
