--- a/packages/proxy/src/dykeswitch/proxy/borrower.py
+++ b/packages/proxy/src/dykeswitch/proxy/borrower.py
@@ -115,7 +115,7 @@
         self._stopped = False
         self.counts: dict[str, int] = {"loans_asked": 0, "loans_got": 0, "loans_refused": 0}
 
-    def since(self) -> float | None:
+    def borrowing_since(self) -> float | None:
         """Return the time of the first loan, or None if there has been none."""
         return self._borrowing_since
 
--- a/packages/proxy/src/dykeswitch/proxy/budget.py
+++ b/packages/proxy/src/dykeswitch/proxy/budget.py
@@ -46,7 +46,7 @@
         self.wake_borrower: typing.Callable[[], None] = _ignore
         self.idle = True
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Record a client's request for the service."""
         self.requests += 1
         if self.idle:
--- a/packages/proxy/src/dykeswitch/proxy/carrier.py
+++ b/packages/proxy/src/dykeswitch/proxy/carrier.py
@@ -230,7 +230,7 @@
             )
         if found is not None:
             return self._ends.end(exchange, found)
-        self._delivery.budget(exchange.service).request()
+        self._delivery.budget(exchange.service).record_request()
         return Stage.SELECT
 
     async def _select(self, exchange: exchanges.Exchange) -> Stage:
@@ -277,7 +277,7 @@
             exchange.connect_failures += 1
             self._step(exchange, f"no connection to {entry.key}", flaw.reason)
             if flaw.reason != "expired":
-                self._marker.failed(entry.key, soundness.flaw_fault(flaw.reason))
+                self._marker.failed(entry.key, soundness.no_response_fault(flaw.reason))
             return (
                 self._ends.give_up(exchange, "no_endpoint")
                 if exchange.connect_failures >= MISSES_MOST
--- a/packages/proxy/src/dykeswitch/proxy/delivery.py
+++ b/packages/proxy/src/dykeswitch/proxy/delivery.py
@@ -60,23 +60,23 @@
         assert self.layout is not None
         probe = self.layout.services[exchange.service].probe
         exchange.ahead = self._selector.ahead(entry)
-        self._selector.begun(entry.key)
+        self._selector.attempt_started(entry.key)
         try:
             exchange.take(await self._pool.connect(entry, exchange.service, probe, exchange.expiry))
         except BaseException:
-            self._selector.ended(entry.key)
+            self._selector.attempt_ended(entry.key)
             raise
 
     def put_away(self, exchange: exchanges.Exchange, sound: bool) -> None:
         """Give a connection back for the next exchange, or close it."""
         connection, exchange.connection = exchange.connection, None
         if connection is not None:
-            self._selector.ended(connection.endpoint)
+            self._selector.attempt_ended(connection.endpoint)
             self._pool.put_back(connection, sound and not self.closing)
 
     def reset_at_rest(self, exchange: exchanges.Exchange, rested_s: float) -> None:
         """Learn from a connection that was reset when it was used again after a rest."""
-        self._pool.rests.reset(exchange.service, rested_s, self._clock.now())
+        self._pool.idle_limits.reset(exchange.service, rested_s, self._clock.now())
 
     def idle(self) -> int:
         """How many usable connections lie idle."""
--- a/packages/proxy/src/dykeswitch/proxy/endings.py
+++ b/packages/proxy/src/dykeswitch/proxy/endings.py
@@ -56,5 +56,5 @@
 
     def come_back_s(self, exchange: exchanges.Exchange) -> float:
         """In how many seconds the first of the service's marks runs out."""
-        wait = self._selector.open_in(exchange.service, self._clock.now())
+        wait = self._selector.mark_expires_in_s(exchange.service, self._clock.now())
         return max(self._config.back_s, min(wait, self._config.mark_s))
--- a/packages/proxy/src/dykeswitch/proxy/exchange.py
+++ b/packages/proxy/src/dykeswitch/proxy/exchange.py
@@ -103,7 +103,7 @@
     def take(self, connection: connections.EndpointConnection) -> None:
         """Take a connection for one attempt."""
         self.connection = connection
-        self.written_before = connection.wrote()
+        self.written_before = connection.bytes_sent()
 
     def may_have_run(self) -> bool:
         """Whether an attempt has run, or may have: then only what may be repeated is sent again."""
@@ -111,7 +111,7 @@
 
     def under_way(self) -> bool:
         """Whether an attempt has been sent, in part at least, and has its connection still."""
-        return self.connection is not None and self.connection.wrote_since(self.written_before)
+        return self.connection is not None and self.connection.sent_since(self.written_before)
 
     def note(self, now: float, what: str, why: str = "") -> None:
         """One step on the trail, while there is room."""
--- a/packages/proxy/src/dykeswitch/proxy/judgement.py
+++ b/packages/proxy/src/dykeswitch/proxy/judgement.py
@@ -67,7 +67,7 @@
             load = adapters.load(head.get(self._header_names.load))
             self._selector.learn(endpoint, exchange.took, exchange.ahead, load)
         elif head.status != soundness.MISDIRECTED:
-            self._selector.full(endpoint.key)
+            self._selector.record_full(endpoint.key)
 
     def _judge_foreign(self, exchange: exchanges.Exchange, flaw: str) -> Stage:
         """Someone else's reply, or an address that changed hands under our connection."""
@@ -123,14 +123,14 @@
         self, exchange: exchanges.Exchange, name: str, connection: connections.EndpointConnection
     ) -> Stage:
         """An attempt that ended without a reply."""
-        if exchange.flaw == soundness.BROKE_OFF and not exchange.head_came and connection.rested_s:
-            self._delivery.reset_at_rest(exchange, connection.rested_s)
+        if exchange.flaw == soundness.BROKE_OFF and not exchange.head_came and connection.idle_for_s:
+            self._delivery.reset_at_rest(exchange, connection.idle_for_s)
         self._delivery.put_away(exchange, sound=False)
         self._note(
             exchange, f"go to {name} failed, {'sent' if exchange.sent else 'nothing sent'}", exchange.flaw
         )
         if exchange.flaw not in ("expired", "no longer to be used"):
-            self._marker.failed(name, soundness.flaw_fault(exchange.flaw))
+            self._marker.failed(name, soundness.no_response_fault(exchange.flaw))
         if exchange.sent:
             exchange.unknown = exchange.flaw
         return Stage.RETRY
--- a/packages/proxy/src/dykeswitch/proxy/marking.py
+++ b/packages/proxy/src/dykeswitch/proxy/marking.py
@@ -27,18 +27,18 @@
         self._selector = selector
         self._counts = counts
         self._log = log
-        self._strikes = soundness.Strikes(config.mark_s)
+        self._strikes = soundness.FailureTracker(config.mark_s)
 
     def sound(self, endpoint: str) -> None:
         """Note that an endpoint answered as it should."""
-        self._strikes.sound(endpoint, self._clock.now())
+        self._strikes.record_success(endpoint, self._clock.now())
 
     def failed(self, endpoint: str, fault: soundness.Fault, promised: bool = False) -> None:
         """Note a failure: the endpoint is avoided, and marked once it fails too often."""
         # One that refused by its word is full, which selection knows already.
         if not promised:
-            self._selector.failed(endpoint)
-        if self._strikes.strike(endpoint, fault, self._clock.now()):
+            self._selector.record_failure(endpoint)
+        if self._strikes.record_failure(endpoint, fault, self._clock.now()):
             self._counts.add("marks")
             self._marks.set_down(endpoint, fault.reason, self._name)
             self._log.warning("mark", endpoint=endpoint, reason=fault.reason)
--- a/packages/proxy/src/dykeswitch/proxy/pool.py
+++ b/packages/proxy/src/dykeswitch/proxy/pool.py
@@ -30,7 +30,7 @@
         self._timeline = timeline
         self._header_names = names
         # How long connections may stay idle, learned from connections that were reset.
-        self.rests = resting.RestLimits(config.mark_s)
+        self.idle_limits = resting.RestLimits(config.mark_s)
         self._idle: dict[str, list[connections.EndpointConnection]] = {}
         timeline.on_change(self._on_entry)
 
@@ -61,7 +61,7 @@
             if not connection.usable() or connection.address != address or stale:
                 connection.close()
                 continue
-            connection.rested_s = now - connection.last_used_at
+            connection.idle_for_s = now - connection.last_used_at
             # Another endpoint may have taken over the address of an idle connection before this
             # proxy is informed of it. Only a new probe, or the id in the request, detects that.
             if now - connection.last_used_at < self._config.drain_s / 4 or self._config.proof == "header":
@@ -95,8 +95,8 @@
     def _may_be_closed(self, connection: connections.EndpointConnection, service: str, now: float) -> bool:
         """Return whether the endpoint may soon close an idle connection, or may have dropped it."""
         idle_for_s = now - connection.last_used_at
-        near_timeout = connection.idle_s is not None and idle_for_s > connection.idle_s / 2
-        return near_timeout or idle_for_s > self.rests.longest(service, now)
+        near_timeout = connection.keep_alive_s is not None and idle_for_s > connection.keep_alive_s / 2
+        return near_timeout or idle_for_s > self.idle_limits.longest(service, now)
 
     async def _verify_again(
         self, connection: connections.EndpointConnection, probe: str, time_left_s: float
--- a/packages/proxy/src/dykeswitch/proxy/program.py
+++ b/packages/proxy/src/dykeswitch/proxy/program.py
@@ -155,7 +155,7 @@
 
     def borrowing_since(self) -> float | None:
         """Since when registries lend us extra go's, if they do."""
-        return self.borrower.since()
+        return self.borrower.borrowing_since()
 
     # Being sure after a freeze.
 
--- a/packages/proxy/src/dykeswitch/proxy/selection.py
+++ b/packages/proxy/src/dykeswitch/proxy/selection.py
@@ -93,7 +93,7 @@
         self._config = config
         self._zone = config.zone
         self._rng = rng
-        self.flights: dict[str, int] = {}
+        self.in_flight: dict[str, int] = {}
         self.paused: typing.Callable[[str], str | None] = lambda endpoint: None
         self._services: dict[str, set[str]] = {}
         self._preferences = preference.Preferences(config.name, config.zone)
@@ -216,7 +216,7 @@
 
     def waiting(self, endpoint: str, typical_s: float) -> float:
         """Return the estimated number of requests at an endpoint, this proxy's included."""
-        own = self.flights.get(endpoint, 0)
+        own = self.in_flight.get(endpoint, 0)
         state = self._endpoints.get(endpoint)
         if state is None:
             return own
@@ -243,15 +243,15 @@
 
     # Learning from attempts.
 
-    def begun(self, endpoint: str) -> None:
-        self.flights[endpoint] = self.flights.get(endpoint, 0) + 1
+    def attempt_started(self, endpoint: str) -> None:
+        self.in_flight[endpoint] = self.in_flight.get(endpoint, 0) + 1
 
-    def ended(self, endpoint: str) -> None:
-        left = self.flights.get(endpoint, 0) - 1
+    def attempt_ended(self, endpoint: str) -> None:
+        left = self.in_flight.get(endpoint, 0) - 1
         if left > 0:
-            self.flights[endpoint] = left
+            self.in_flight[endpoint] = left
         else:
-            self.flights.pop(endpoint, None)
+            self.in_flight.pop(endpoint, None)
 
     def learn(
         self, endpoint: timelines.Entry, duration_s: float, ahead: float, load: adapters.Load | None
@@ -267,13 +267,13 @@
         self._service_times.setdefault(service, ServiceTime()).add(service_time_s)
         if load is not None:
             # This exchange is done at the endpoint, but is still counted as in flight here.
-            own = self.flights.get(endpoint.key, 1) - 1
+            own = self.in_flight.get(endpoint.key, 1) - 1
             state.other_requests = max(0.0, load.running + load.waiting - own)
             state.mean_other_requests += (state.other_requests - state.mean_other_requests) / MEAN_SAMPLES
             state.reported_at = self._timeline.clock.now()
             state.slots = max(1, load.slots)
 
-    def full(self, endpoint: str) -> None:
+    def record_full(self, endpoint: str) -> None:
         """Record that an endpoint turned a request away because its queue is full.
 
         The endpoint counts as full for about as long as a request takes.
@@ -283,7 +283,7 @@
             state.other_requests = max(state.other_requests, (state.slots or 1) * 4.0)
             state.reported_at = self._timeline.clock.now()
 
-    def failed(self, endpoint: str) -> None:
+    def record_failure(self, endpoint: str) -> None:
         """Record a failed attempt: for a while, endpoints that are about as good are preferred."""
         state = self._endpoints.get(endpoint)
         if state is not None:
@@ -299,7 +299,7 @@
         faded: float = 0.5 ** (age_s / self._config.mark_s)
         return state.failures * faded
 
-    def open_in(self, service: str, now: float) -> float:
+    def mark_expires_in_s(self, service: str, now: float) -> float:
         """Return the seconds until the first mark on an endpoint of a service expires."""
         times_left_s = [self._mark_expires_at(e.key) - now for e in self.up(service)]
         return min((s for s in times_left_s if s > 0), default=0.0)
--- a/packages/simulator/src/dykeswitch/simulator/leaks.py
+++ b/packages/simulator/src/dykeswitch/simulator/leaks.py
@@ -41,7 +41,7 @@
     return Count(
         tasks=max((len(n.host.tasks) for n in nodes), default=0),
         table=sum(len(n.daemon.carrier.table) for n in proxies),
-        flights=sum(sum(n.daemon.carrier.selector.flights.values()) for n in proxies),
+        flights=sum(sum(n.daemon.carrier.selector.in_flight.values()) for n in proxies),
         astray=_astray(fleet, proxies),
         pair=_pair(fleet),
         entries=entries,
--- a/packages/soundness/src/dykeswitch/soundness/__init__.py
+++ b/packages/soundness/src/dykeswitch/soundness/__init__.py
@@ -58,7 +58,7 @@
 MIXED_FAILURE_SHARE: typing.Final = 0.25
 
 
-def flaw_fault(reason: str) -> Fault:
+def no_response_fault(reason: str) -> Fault:
     """Return the fault that an attempt without a response stands for."""
     return Fault(reason, TOLERATED_TRANSIENT if reason in TRANSIENT else 0)
 
@@ -73,7 +73,7 @@
     updated_at: float = 0.0
 
 
-class Strikes:
+class FailureTracker:
     """Decides from one proxy's exchanges when an endpoint has failed often enough for a mark.
 
     An endpoint is marked when it fails more often in a row than is tolerated. It is also marked when
@@ -101,13 +101,13 @@
         record.updated_at = now
         return record
 
-    def sound(self, endpoint: str, now: float) -> None:
+    def record_success(self, endpoint: str, now: float) -> None:
         """Record a response that does not count against the endpoint."""
         record = self._record(endpoint, now)
         record.consecutive_failures = 0
         record.attempts += 1
 
-    def strike(self, endpoint: str, fault: Fault, now: float) -> bool:
+    def record_failure(self, endpoint: str, fault: Fault, now: float) -> bool:
         """Record a failure, and return whether the endpoint is to be marked."""
         record = self._record(endpoint, now)
         record.consecutive_failures += 1
--- a/packages/soundness/src/dykeswitch/soundness/connection.py
+++ b/packages/soundness/src/dykeswitch/soundness/connection.py
@@ -62,9 +62,9 @@
         self._bytes_sent = 0
         self.last_used_at = now
         # How long the connection was idle before the current exchange, in seconds; 0 on a new one.
-        self.rested_s = 0.0
+        self.idle_for_s = 0.0
         # How long the endpoint keeps an idle connection, in seconds, as it has stated.
-        self.idle_s: float | None = None
+        self.keep_alive_s: float | None = None
         self.closed = False
 
     def close(self) -> None:
@@ -196,13 +196,13 @@
     def _read_keep_alive(self, head: ResponseHead) -> None:
         match = KEEP_ALIVE_TIMEOUT.search(head.get(b"keep-alive") or b"")
         if match is not None:
-            self.idle_s = float(match.group(1))
+            self.keep_alive_s = float(match.group(1))
 
-    def wrote_since(self, mark: int) -> bool:
-        """Return whether any byte was sent after an earlier result of `wrote`."""
+    def sent_since(self, mark: int) -> bool:
+        """Return whether any byte was sent after an earlier result of `bytes_sent`."""
         return self._bytes_sent > mark
 
-    def wrote(self) -> int:
+    def bytes_sent(self) -> int:
         """Return the number of bytes sent so far."""
         return self._bytes_sent
 
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -291,7 +291,7 @@
             assert len(stage.endpoint.arrived) == 1
             assert stage.proxy.carrier._marks.mark_of("e0") is None
             assert stage.proxy.carrier.selector.failures("e0") == 0
-            assert (stage.proxy.carrier.table, stage.proxy.carrier.selector.flights) == ({}, {})
+            assert (stage.proxy.carrier.table, stage.proxy.carrier.selector.in_flight) == ({}, {})
 
     asyncio.run(main())
 
@@ -348,7 +348,7 @@
             caller.leave()
             await asyncio.sleep(1.0)
             assert sum(len(endpoint.arrived) for endpoint in stage.endpoints) == arrived
-            assert (stage.proxy.carrier.table, stage.proxy.carrier.selector.flights) == ({}, {})
+            assert (stage.proxy.carrier.table, stage.proxy.carrier.selector.in_flight) == ({}, {})
 
     asyncio.run(main())
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -121,7 +121,7 @@
     async def main() -> None:
         connection = _connection(Script(_reply("one", "1", more="Keep-Alive: timeout=7, max=9\r\n")))
         await _ask(connection, "one")
-        assert connection.idle_s == 7.0
+        assert connection.keep_alive_s == 7.0
 
     asyncio.run(main())
 
@@ -139,46 +139,48 @@
 
 
 def test_a_row_of_soft_failures_marks_and_a_reply_ends_the_row() -> None:
-    strikes = soundness.Strikes(5.0)
-    fault = soundness.flaw_fault(soundness.BROKE_OFF)
-    assert [strikes.strike("e", fault, 0.1 * n) for n in range(3)] == [False, False, True]
+    strikes = soundness.FailureTracker(5.0)
+    fault = soundness.no_response_fault(soundness.BROKE_OFF)
+    assert [strikes.record_failure("e", fault, 0.1 * n) for n in range(3)] == [False, False, True]
     for n in range(40):
-        strikes.sound("e", 1 + 0.01 * n)
+        strikes.record_success("e", 1 + 0.01 * n)
     for n in range(6):
-        assert not strikes.strike("e", fault, 2.0 + n / 10)
-        strikes.sound("e", 2.05 + n / 10)
+        assert not strikes.record_failure("e", fault, 2.0 + n / 10)
+        strikes.record_success("e", 2.05 + n / 10)
 
 
 def test_failures_mixed_with_replies_mark_where_they_are_many() -> None:
-    strikes = soundness.Strikes(5.0)
-    fault = soundness.flaw_fault(soundness.TIMED_OUT)
+    strikes = soundness.FailureTracker(5.0)
+    fault = soundness.no_response_fault(soundness.TIMED_OUT)
     marked = False
     # Four in ten fail, never two in a row.
     for n in range(20):
         now = n * 0.1
         if n % 5 in (0, 2):
-            marked = marked or strikes.strike("e", fault, now)
+            marked = marked or strikes.record_failure("e", fault, now)
         else:
-            strikes.sound("e", now)
+            strikes.record_success("e", now)
     assert marked
 
 
 def test_one_in_forty_lost_marks_as_good_as_never() -> None:
-    strikes = soundness.Strikes(5.0)
-    fault = soundness.flaw_fault(soundness.BROKE_OFF)
+    strikes = soundness.FailureTracker(5.0)
+    fault = soundness.no_response_fault(soundness.BROKE_OFF)
     rng = random.Random(3)
     marks = 0
     for n in range(20000):
         if rng.random() < 0.025:
-            marks += strikes.strike("e", fault, n * 0.06)
+            marks += strikes.record_failure("e", fault, n * 0.06)
         else:
-            strikes.sound("e", n * 0.06)
+            strikes.record_success("e", n * 0.06)
     # Three in a row come by chance once in 64,000.
     assert marks <= 1
 
 
 def test_a_refused_pipe_marks_at_once() -> None:
-    assert soundness.Strikes(5.0).strike("e", soundness.flaw_fault(soundness.REFUSED), 0.0)
+    assert soundness.FailureTracker(5.0).record_failure(
+        "e", soundness.no_response_fault(soundness.REFUSED), 0.0
+    )
 
 
 # Selection by the finish to be expected.
@@ -238,7 +240,7 @@
             selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
     assert set(_picked(selector)) == {"a"}
     for _ in range(8):
-        selector.begun("a")
+        selector.attempt_started("a")
     assert set(_picked(selector)) == {"b"}
 
 
@@ -256,9 +258,9 @@
     for name in ("a", "b"):
         for _ in range(60):
             selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
-    selector.begun("a")
+    selector.attempt_started("a")
     selector.learn(_get(timeline, "a"), 0.06, 0.0, adapters.Load(2, 6, 2))
-    selector.ended("a")
+    selector.attempt_ended("a")
     assert set(_picked(selector)) == {"b"}
     clock.at += 1.0
     assert set(_picked(selector)) == {"a", "b"}
@@ -269,7 +271,7 @@
     for name in ("a", "b"):
         for _ in range(60):
             selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
-    selector.full("a")
+    selector.record_full("a")
     assert set(_picked(selector)) == {"b"}
     clock.at += 1.0
     assert set(_picked(selector)) == {"a", "b"}
@@ -285,7 +287,7 @@
     for _ in range(400):
         entry = selector.select("s", set(), 0.2)
         assert entry is not None
-        selector.begun(entry.key)
+        selector.attempt_started(entry.key)
         found.add(entry.key)
     return found
 
@@ -333,14 +335,14 @@
     for name in ("a", "b"):
         for _ in range(50):
             selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
-    selector.failed("a")
+    selector.record_failure("a")
     assert set(_picked(selector)) == {"b"}
     # No more than a preference: once the others' queues cost more, it is asked again.
     for _ in range(6):
-        selector.begun("b")
+        selector.attempt_started("b")
     assert set(_picked(selector)) == {"a"}
     for _ in range(6):
-        selector.ended("b")
+        selector.attempt_ended("b")
     clock.at += 30.0
     assert set(_picked(selector)) == {"a", "b"}
 
@@ -348,6 +350,6 @@
 def test_failures_of_all_endpoints_alike_change_nothing() -> None:
     selector, _, _ = _selector({"a": "near", "b": "near"})
     for _ in range(9):
-        selector.failed("a")
-        selector.failed("b")
+        selector.record_failure("a")
+        selector.record_failure("b")
     assert set(_picked(selector)) == {"a", "b"}
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -403,7 +403,7 @@
         assert {"200", "110", "108"} <= seen
         proxy = fleet.edges[0].node.daemon.carrier
         assert not proxy.table
-        assert not proxy.selector.flights
+        assert not proxy.selector.in_flight
         assert not fleet.edges[0].node.crash
 
     loops.run(main())
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -123,7 +123,7 @@
         )
 
     async def run(self) -> None:
-        budget = self.budgets[SERVICE] = budgets.Budget(CONFIG, self.borrower.since)
+        budget = self.budgets[SERVICE] = budgets.Budget(CONFIG, self.borrower.borrowing_since)
         async with asyncio.TaskGroup() as group:
             tasks = [group.create_task(self.borrower.run()), group.create_task(self._live(budget))]
             await self._over.wait()
@@ -138,7 +138,7 @@
             # Few, lest what requests earn hides what is spent beyond the loans.
             if self._town.asking and self._rng.random() < 0.1:
                 self._town.asked.append(now)
-                budget.request()
+                budget.record_request()
             while self._town.pressed and budget.take(now):
                 self._town.spent.append(now)
 
@@ -607,8 +607,8 @@
             lambda: known.pop() if known else {},
             lambda: budget,
         )
-        budget[SERVICE] = budgets.Budget(CONFIG, borrower.since)
-        budget[SERVICE].request()
+        budget[SERVICE] = budgets.Budget(CONFIG, borrower.borrowing_since)
+        budget[SERVICE].record_request()
         running = asyncio.create_task(borrower.run())
         await asyncio.sleep(2.0)
         assert not running.done()
