--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -1,7 +1,7 @@
-"""Lending of extra go's: real lenders, duties and borrowers on virtual time, and all that can befall them.
+"""Lending of retry tokens: real lenders, slot assignments and borrowers in virtual time, under faults.
 
-The register is a stone that is there or not; what carries exchanges is left out: each proxy
-spends all that it is let. `tests/test_days.py` has whole fleets.
+The register is a stub that can be out of reach. No requests are carried: each proxy spends all
+the tokens that its budget allows. `tests/test_days.py` tests whole fleets.
 """
 
 import asyncio
@@ -30,25 +30,28 @@
 import dykeswitch.timeline.slots as slots
 
 FLOOR: typing.Final = 20
-# What is lent of it; nothing here is on the wire as a window begins.
+# The tokens that are lent of the floor. The rest is for requests that are on the wire when a window
+# begins; there are none here.
 LENT: typing.Final = 19
 CONFIG: typing.Final = settings.Settings(extra_floor=FLOOR)
 SERVICE: typing.Final = "pages"
 
 
-class _Stone:
-    """A register of one value, out of reach for those that are apart."""
+class _StubRegister:
+    """A register with one value, which isolated registries cannot reach."""
 
     def __init__(self) -> None:
         self.value = register.INITIAL_VALUE
-        self.apart: set[str] = set()
+        self.isolated: set[str] = set()
 
 
-class _Hand:
-    """One registry's way to the register."""
+class _RegisterClient:
+    """One registry's access to the register."""
 
-    def __init__(self, stone: _Stone, name: str, clock: typing.Any, rng: random.Random) -> None:
-        self._stone = stone
+    def __init__(
+        self, stub_register: _StubRegister, name: str, clock: typing.Any, rng: random.Random
+    ) -> None:
+        self._stub_register = stub_register
         self._name = name
         self._clock = clock
         self._rng = rng
@@ -58,41 +61,41 @@
 
     async def change(self, key: str, step: typing.Any) -> outcome.Success[register.Value] | outcome.Failure:
         await self._clock.sleep(self._rng.uniform(0.001, 0.2))
-        if self._name in self._stone.apart:
+        if self._name in self._stub_register.isolated:
             await self._clock.sleep(1.0)
             return outcome.failure("no_majority")
-        self._stone.value = seen = step(self._stone.value)
+        self._stub_register.value = seen = step(self._stub_register.value)
         await self._clock.sleep(self._rng.uniform(0.001, 0.2))
         return outcome.Success(seen)
 
 
 class _Registry:
-    """A registry with nothing but its duties and its lending."""
+    """A registry that only keeps its slot assignments and lends tokens."""
 
     def __init__(
-        self, town: "Town", name: str, address: str, machine: typing.Any, rng: random.Random
+        self, cluster: "Cluster", name: str, address: str, machine: typing.Any, rng: random.Random
     ) -> None:
-        self._town = town
+        self._cluster = cluster
         self._address = address
         self._machine = machine
         self.name = name
         self.boot_id = f"{rng.getrandbits(32):08x}"
         self.timeline = timelines.Timeline(name, machine.clock, CONFIG.forget_s)
-        hand: typing.Any = _Hand(town.stone, name, machine.clock, rng)
-        self.duties = duties.Duties(name, self.boot_id, CONFIG, self.timeline, hand)
+        register_client: typing.Any = _RegisterClient(cluster.stub_register, name, machine.clock, rng)
+        self.duties = duties.Duties(name, self.boot_id, CONFIG, self.timeline, register_client)
         self.lender = lenders.Lender(CONFIG, machine.clock, self.duties)
 
     async def run(self) -> None:
         server = frames.CallServer(self.lender.kinds(), lambda event, what: None)
         await self._machine.net.listen(self._address, server.serve)
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._beat())
+            group.create_task(self._send_heartbeats())
             while True:
                 await self._machine.clock.sleep(CONFIG.dead_after_s / 2)
                 await self.duties.reconcile(sorted({self.name, *_cores(self.timeline)}))
                 self.lender.remove_expired()
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         fields = dict.fromkeys(("spot", "web", "store"), self._address) | {"zone": "z", "boot": self.boot_id}
         while True:
             self.timeline.write(timelines.CORE, self.name, dict(fields), CONFIG.dead_after_s)
@@ -103,13 +106,13 @@
 
 
 class _Proxy:
-    """A proxy that spends whatever it is let, and has requests as the town has."""
+    """A proxy that spends all its tokens, and gets requests while the cluster does."""
 
-    def __init__(self, town: "Town", name: str, machine: typing.Any, rng: random.Random) -> None:
-        self._town = town
+    def __init__(self, cluster: "Cluster", name: str, machine: typing.Any, rng: random.Random) -> None:
+        self._cluster = cluster
         self._clock = machine.clock
         self._rng = rng
-        self._over = asyncio.Event()
+        self._stopping = asyncio.Event()
         self.timeline = timelines.Timeline(name, machine.clock, CONFIG.forget_s)
         self.budgets: dict[str, budgets.Budget] = {}
         self.borrower = borrowers.Borrower(
@@ -125,52 +128,52 @@
     async def run(self) -> None:
         budget = self.budgets[SERVICE] = budgets.Budget(CONFIG, self.borrower.borrowing_since)
         async with asyncio.TaskGroup() as group:
-            tasks = [group.create_task(self.borrower.run()), group.create_task(self._live(budget))]
-            await self._over.wait()
+            tasks = [group.create_task(self.borrower.run()), group.create_task(self._run_traffic(budget))]
+            await self._stopping.wait()
             await self.borrower.give_back()
             for task in tasks:
                 task.cancel()
 
-    async def _live(self, budget: budgets.Budget) -> None:
+    async def _run_traffic(self, budget: budgets.Budget) -> None:
         while True:
             await self._clock.sleep(self._rng.uniform(0.0, 0.2))
             now = self._clock.now()
-            # Few, lest what requests earn hides what is spent beyond the loans.
-            if self._town.asking and self._rng.random() < 0.1:
-                self._town.asked.append(now)
+            # Few requests, so that what they pay back does not hide tokens spent beyond the loans.
+            if self._cluster.sending_requests and self._rng.random() < 0.1:
+                self._cluster.request_times.append(now)
                 budget.record_request()
-            while self._town.pressed and budget.take(now):
-                self._town.spent.append(now)
+            while self._cluster.needs_retries and budget.take(now):
+                self._cluster.extra_attempt_times.append(now)
 
     def stop(self) -> None:
-        self._over.set()
+        self._stopping.set()
 
 
 def _cores(timeline: timelines.Timeline) -> dict[str, ports.Address]:
     return {e.key: ports.address_of(e.fields["spot"]) for e in timeline.all(timelines.CORE)}
 
 
-class Town:
-    """Three registries, some proxies, news between them, and a record of what was spent."""
+class Cluster:
+    """Three registries and some proxies with gossip between them, and a record of extra attempts."""
 
     def __init__(self, seed: int, scratch: pathlib.Path, proxies: int = 4) -> None:
         self.world = worlds.World(seed, scratch)
         self.clock = self.world.machine_for("outside").clock
-        self.stone = _Stone()
-        self.registries = [self._add(n) for n in range(3)]
-        self.proxies = [self._proxy(n) for n in range(proxies)]
-        self.asked: list[float] = []
-        self.spent: list[float] = []
-        self.asking = True
-        self.pressed = True
-
-    def _add(self, n: int) -> worlds.Node:
+        self.stub_register = _StubRegister()
+        self.registries = [self._add_registry(n) for n in range(3)]
+        self.proxies = [self._add_proxy(n) for n in range(proxies)]
+        self.request_times: list[float] = []
+        self.extra_attempt_times: list[float] = []
+        self.sending_requests = True
+        self.needs_retries = True
+
+    def _add_registry(self, n: int) -> worlds.Node:
         name, address = f"core{n}", self.world.address()
         return self.world.add(
             "registry", name, lambda machine, log, rng: _Registry(self, name, address, machine, rng)
         )
 
-    def _proxy(self, n: int) -> worlds.Node:
+    def _add_proxy(self, n: int) -> worlds.Node:
         return self.world.add(
             "proxy", f"proxy{n}", lambda machine, log, rng: _Proxy(self, f"proxy{n}", machine, rng)
         )
@@ -180,52 +183,52 @@
             node.start()
 
     async def gossip(self) -> None:
-        """What urgent news and shuffles bring about."""
+        """Spread timeline entries between the nodes, as urgent updates and shuffles do."""
         while True:
             await asyncio.sleep(0.25)
             nodes = [n for n in self.world.nodes.values() if n.up and n.daemon and not n.host.frozen]
-            for one in nodes:
-                told = one.daemon.timeline.entries_since(0)
-                for two in nodes:
-                    if one is not two and self.world.links.both(one.name, two.name):
-                        two.daemon.timeline.merge(told)
+            for source in nodes:
+                entries = source.daemon.timeline.entries_since(0)
+                for target in nodes:
+                    if source is not target and self.world.links.both(source.name, target.name):
+                        target.daemon.timeline.merge(entries)
 
     def most_over(self) -> float:
-        """The most by which extra go's of any window went beyond the share of its requests."""
-        spent, asked = sorted(self.spent), sorted(self.asked)
-        most = 0.0
-        for first in spent:
+        """Return the largest excess, over all windows, of extra attempts over the share of the requests."""
+        attempts, requests = sorted(self.extra_attempt_times), sorted(self.request_times)
+        max_excess = 0.0
+        for first in attempts:
             for low, high in ((first, first + CONFIG.extra_window_s), (first - CONFIG.extra_window_s, first)):
-                many = bisect.bisect_right(spent, high) - bisect.bisect_left(spent, low)
-                base = bisect.bisect_right(asked, high) - bisect.bisect_left(asked, low)
-                most = max(most, many - CONFIG.extra_share * base)
-        return most
+                attempt_count = bisect.bisect_right(attempts, high) - bisect.bisect_left(attempts, low)
+                request_count = bisect.bisect_right(requests, high) - bisect.bisect_left(requests, low)
+                max_excess = max(max_excess, attempt_count - CONFIG.extra_share * request_count)
+        return max_excess
 
 
 @dataclasses.dataclass(frozen=True)
 class Event:
-    """Something that befalls the town from a moment on, for a span."""
+    """A fault, or another change, that starts at a time and lasts for a while."""
 
-    at: float
-    what: str
-    which: int
-    span: float
+    start_s: float
+    kind: str
+    index: int
+    duration_s: float
 
-    async def run(self, town: Town) -> None:
-        await asyncio.sleep(self.at)
-        undo = EVENTS[self.what](town, self.which)
-        await asyncio.sleep(self.span)
+    async def run(self, cluster: Cluster) -> None:
+        await asyncio.sleep(self.start_s)
+        undo = EVENTS[self.kind](cluster, self.index)
+        await asyncio.sleep(self.duration_s)
         undo()
 
 
 Undo = typing.Callable[[], None]
 
 
-def _of(nodes: list[worlds.Node], which: int) -> worlds.Node:
-    return nodes[which % len(nodes)]
+def _pick(nodes: list[worlds.Node], index: int) -> worlds.Node:
+    return nodes[index % len(nodes)]
 
 
-def _killed(nodes: list[worlds.Node]) -> Undo:
+def _kill(nodes: list[worlds.Node]) -> Undo:
     for node in nodes:
         node.kill()
 
@@ -236,123 +239,123 @@
     return undo
 
 
-def _frozen(node: worlds.Node) -> Undo:
+def _freeze(node: worlds.Node) -> Undo:
     node.freeze()
     return node.thaw
 
 
-def _apart(town: Town, which: int) -> Undo:
-    """One registry is on the side that has no majority; proxies reach it still."""
-    one = _of(town.registries, which).name
-    town.stone.apart.add(one)
-    others = [n.name for n in town.registries if n.name != one]
-    town.world.links.cut([one], others)
+def _isolate(cluster: Cluster, index: int) -> Undo:
+    """Cut one registry off from the majority; proxies still reach it."""
+    name = _pick(cluster.registries, index).name
+    cluster.stub_register.isolated.add(name)
+    others = [n.name for n in cluster.registries if n.name != name]
+    cluster.world.links.cut([name], others)
 
     def undo() -> None:
-        town.stone.apart.discard(one)
+        cluster.stub_register.isolated.discard(name)
         for other in others:
-            town.world.links.cuts -= {(one, other), (other, one)}
+            cluster.world.links.cuts -= {(name, other), (other, name)}
 
     return undo
 
 
-def _split(town: Town, which: int) -> Undo:
-    """A registry and half the proxies on one side, without a majority; the rest on the other."""
-    here = [_of(town.registries, which).name, *(n.name for n in town.proxies[which % 2 :: 2])]
-    there = [name for name in town.world.nodes if name not in here]
-    town.stone.apart.add(here[0])
-    town.world.links.cut(here, there)
+def _split(cluster: Cluster, index: int) -> Undo:
+    """Cut off one registry and half of the proxies, without a majority, from all other nodes."""
+    minority = [_pick(cluster.registries, index).name, *(n.name for n in cluster.proxies[index % 2 :: 2])]
+    majority = [name for name in cluster.world.nodes if name not in minority]
+    cluster.stub_register.isolated.add(minority[0])
+    cluster.world.links.cut(minority, majority)
 
     def undo() -> None:
-        town.stone.apart.discard(here[0])
-        town.world.links.heal()
+        cluster.stub_register.isolated.discard(minority[0])
+        cluster.world.links.heal()
 
     return undo
 
 
-def _cut(town: Town, which: int) -> Undo:
-    one, two = _of(town.proxies, which).name, _of(town.registries, which // 7).name
-    town.world.links.cut([one], [two])
+def _cut(cluster: Cluster, index: int) -> Undo:
+    proxy, registry = _pick(cluster.proxies, index).name, _pick(cluster.registries, index // 7).name
+    cluster.world.links.cut([proxy], [registry])
 
     def undo() -> None:
-        town.world.links.cuts -= {(one, two), (two, one)}
-        for connection in list(town.world.links.connections):
+        cluster.world.links.cuts -= {(proxy, registry), (registry, proxy)}
+        for connection in list(cluster.world.links.connections):
             connection.pump()
 
     return undo
 
 
-def _slow(town: Town, which: int) -> Undo:
-    name = _of([*town.registries, *town.proxies], which).name
-    town.world.links.slow[name] = 0.45
+def _slow(cluster: Cluster, index: int) -> Undo:
+    name = _pick([*cluster.registries, *cluster.proxies], index).name
+    cluster.world.links.slow[name] = 0.45
 
     def undo() -> None:
-        town.world.links.slow.pop(name, None)
+        cluster.world.links.slow.pop(name, None)
 
     return undo
 
 
-def _stopped(town: Town, which: int) -> Undo:
-    node = _of(town.proxies, which)
+def _stop(cluster: Cluster, index: int) -> Undo:
+    node = _pick(cluster.proxies, index)
     if node.daemon is not None:
         node.daemon.stop()
     return node.restart
 
 
-def _asking(town: Town, which: int) -> Undo:
-    """Requests end, and what was earned by them must have been spent within the floor."""
-    town.asking = False
-    return lambda: setattr(town, "asking", True)
+def _end_requests(cluster: Cluster, index: int) -> Undo:
+    """Stop the requests: extra attempts must then stay within the floor."""
+    cluster.sending_requests = False
+    return lambda: setattr(cluster, "sending_requests", True)
 
 
-def _calm(town: Town, which: int) -> Undo:
-    town.pressed = False
-    return lambda: setattr(town, "pressed", True)
+def _end_retries(cluster: Cluster, index: int) -> Undo:
+    cluster.needs_retries = False
+    return lambda: setattr(cluster, "needs_retries", True)
 
 
-EVENTS: typing.Final[dict[str, typing.Callable[[Town, int], Undo]]] = {
-    "kill a proxy": lambda town, which: _killed([_of(town.proxies, which)]),
-    "kill half the proxies": lambda town, which: _killed(town.proxies[which % 2 :: 2]),
-    "kill a registry": lambda town, which: _killed([_of(town.registries, which)]),
-    "kill all registries": lambda town, which: _killed(town.registries),
-    "freeze a proxy": lambda town, which: _frozen(_of(town.proxies, which)),
-    "freeze a registry": lambda town, which: _frozen(_of(town.registries, which)),
-    "set a registry apart": _apart,
+EVENTS: typing.Final[dict[str, typing.Callable[[Cluster, int], Undo]]] = {
+    "kill a proxy": lambda cluster, index: _kill([_pick(cluster.proxies, index)]),
+    "kill half the proxies": lambda cluster, index: _kill(cluster.proxies[index % 2 :: 2]),
+    "kill a registry": lambda cluster, index: _kill([_pick(cluster.registries, index)]),
+    "kill all registries": lambda cluster, index: _kill(cluster.registries),
+    "freeze a proxy": lambda cluster, index: _freeze(_pick(cluster.proxies, index)),
+    "freeze a registry": lambda cluster, index: _freeze(_pick(cluster.registries, index)),
+    "set a registry apart": _isolate,
     "split the town": _split,
     "cut a proxy from a registry": _cut,
     "slow a machine": _slow,
-    "stop a proxy": _stopped,
-    "end requests": _asking,
-    "press no more": _calm,
+    "stop a proxy": _stop,
+    "end requests": _end_requests,
+    "press no more": _end_retries,
 }
 
 
-def _live(events: typing.Sequence[Event], seed: int, span: float, scratch: pathlib.Path) -> Town:
-    """A town's day."""
+def _live(events: typing.Sequence[Event], seed: int, duration_s: float, scratch: pathlib.Path) -> Cluster:
+    """Run a cluster through some events."""
 
-    async def main() -> Town:
-        town = Town(seed, scratch)
-        town.start()
+    async def main() -> Cluster:
+        cluster = Cluster(seed, scratch)
+        cluster.start()
         async with asyncio.TaskGroup() as group:
-            tasks = [group.create_task(town.gossip())]
-            tasks += [group.create_task(event.run(town)) for event in events]
-            await asyncio.sleep(span)
+            tasks = [group.create_task(cluster.gossip())]
+            tasks += [group.create_task(event.run(cluster)) for event in events]
+            await asyncio.sleep(duration_s)
             for task in tasks:
                 task.cancel()
-        flaws = [node.crash for node in town.world.nodes.values() if node.crash]
-        assert not flaws
-        return town
+        crashes = [node.crash for node in cluster.world.nodes.values() if node.crash]
+        assert not crashes
+        return cluster
 
-    found: Town = loops.run(main())
+    found: Cluster = loops.run(main())
     return found
 
 
 def test_a_calm_town_uses_all_that_is_lent(tmp_path: pathlib.Path) -> None:
-    town = _live([], 1, 30.0, tmp_path)
-    assert town.most_over() <= LENT
-    # The floor is really there to be used, and soon after the start.
-    assert town.most_over() > LENT * 0.8
-    assert min(town.spent) - 1000.0 < CONFIG.dead_after_s
+    cluster = _live([], 1, 30.0, tmp_path)
+    assert cluster.most_over() <= LENT
+    # The floor can be used nearly in full, and soon after the start.
+    assert cluster.most_over() > LENT * 0.8
+    assert min(cluster.extra_attempt_times) - 1000.0 < CONFIG.dead_after_s
 
 
 @hypothesis.settings(
@@ -375,11 +378,13 @@
 def test_no_window_has_more_than_its_share_and_what_is_lent(
     tmp_path_factory: pytest.TempPathFactory, events: list[Event], seed: int
 ) -> None:
+    # Hypothesis derives the examples of a derandomized test from the code of its body, so a renamed
+    # variable here would test other examples.
     town = _live(events, seed, 65.0, tmp_path_factory.mktemp("town"))
     assert town.most_over() <= LENT + 1e-6
 
 
-Wreck = typing.Callable[[pytest.MonkeyPatch], None]
+RemoveGuard = typing.Callable[[pytest.MonkeyPatch], None]
 
 
 def _lends_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -388,17 +393,19 @@
 
 def _sure_for_ever(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(settings.Settings, "fence_max_age_s", property(lambda self: 1e9))
-    # Only the old proof: a new lender waits as long as it would.
+    # Only the fence's age is unlimited: a new lender still waits as long as usual.
     patch.setattr(settings.Settings, "takeover_wait_s", property(lambda self: 21.5))
 
 
 def _counts_from_the_answer(patch: pytest.MonkeyPatch) -> None:
-    settle = borrowers.Borrower._apply_loan
+    apply_loan = borrowers.Borrower._apply_loan
 
-    def late(self: borrowers.Borrower, wish: typing.Any, budget: typing.Any, coins: int, end: float) -> None:
-        settle(self, wish, budget, coins, self._clock.now() + self._config.loan_duration_s)
+    def apply_late(
+        self: borrowers.Borrower, request: typing.Any, budget: typing.Any, tokens: int, expires_at: float
+    ) -> None:
+        apply_loan(self, request, budget, tokens, self._clock.now() + self._config.loan_duration_s)
 
-    patch.setattr(borrowers.Borrower, "_apply_loan", late)
+    patch.setattr(borrowers.Borrower, "_apply_loan", apply_late)
 
 
 def _spent_is_over_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -416,14 +423,14 @@
 def _shrinks_are_free_at_once(patch: pytest.MonkeyPatch) -> None:
     put = lenders.Account.put
 
-    def only(self: lenders.Account, coins: int, until: float) -> None:
+    def put_alone(self: lenders.Account, coins: int, until: float) -> None:
         self.outs = []
         put(self, coins, until)
 
-    patch.setattr(lenders.Account, "put", only)
+    patch.setattr(lenders.Account, "put", put_alone)
 
 
-DAYS: typing.Final[list[tuple[Wreck, list[Event]]]] = [
+GUARDS: typing.Final[list[tuple[RemoveGuard, list[Event]]]] = [
     (
         _lends_at_once,
         [Event(10.0, "kill all registries", 0, 0.5), Event(10.0, "kill half the proxies", 0, 0.5)],
@@ -431,7 +438,7 @@
     (_sure_for_ever, [Event(10.0, "split the town", 0, 30.0)]),
     (
         _counts_from_the_answer,
-        # Asks are long on their way: an answer lies waiting as the freeze ends, and the loan is over.
+        # Calls are slow: when the freeze ends, a reply is waiting whose loan has expired.
         [Event(4.0, "slow a machine", n, 60.0) for n in range(3, 7)]
         + [Event(12.0 + n, "freeze a proxy", n, 19.0) for n in range(2)],
     ),
@@ -442,122 +449,122 @@
 ]
 
 
-@pytest.mark.parametrize(("wreck", "events"), DAYS)
+@pytest.mark.parametrize(("remove_guard", "events"), GUARDS)
 def test_without_its_guard_a_window_has_more(
-    wreck: Wreck,
+    remove_guard: RemoveGuard,
     events: list[Event],
     tmp_path_factory: pytest.TempPathFactory,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The same day holds with it, and breaks without."""
+    """The same events keep the bound with the guard, and break it without the guard."""
 
-    def over(seed: int) -> bool:
+    def exceeds(seed: int) -> bool:
         return _live(events, seed, 65.0, tmp_path_factory.mktemp("town")).most_over() > LENT + 1e-6
 
     with monkeypatch.context() as patch:
-        wreck(patch)
-        broken = next((seed for seed in range(8) if over(seed)), None)
+        remove_guard(patch)
+        broken = next((seed for seed in range(8) if exceeds(seed)), None)
     assert broken is not None
-    assert not over(broken)
+    assert not exceeds(broken)
 
 
-class _Sure:
-    """Duties that are ours, under a fence that a test moves."""
+class _FixedDuties:
+    """Slots that are assigned to the lender, under a fence that the test sets."""
 
     def __init__(self, fence: int, since: float) -> None:
-        self.now: duties.Hold | None = duties.Hold(fence, since, since)
+        self.current: duties.Hold | None = duties.Hold(fence, since, since)
 
     def hold(self, slot: int) -> duties.Hold | None:
-        return self.now
+        return self.current
 
 
-class _Time:
+class _FakeClock:
     def __init__(self) -> None:
-        self.at = 100.0
+        self.now_s = 100.0
 
     def now(self) -> float:
-        return self.at
+        return self.now_s
 
 
-class _Desk:
-    """One lender, asked straight."""
+class _LenderHarness:
+    """One lender that is called directly."""
 
     def __init__(self, fence: int = 1) -> None:
-        self.time = _Time()
-        self.duty = _Sure(fence, self.time.at)
-        duty: typing.Any = self.duty
-        clock: typing.Any = self.time
-        self.lender = lenders.Lender(CONFIG, clock, duty)
+        self.clock = _FakeClock()
+        self.duties = _FixedDuties(fence, self.clock.now_s)
+        assigned: typing.Any = self.duties
+        clock: typing.Any = self.clock
+        self.lender = lenders.Lender(CONFIG, clock, assigned)
         self._turns: dict[str, int] = {}
 
     def ask(
-        self, who: str, want: int, lent: int = 0, bound: int | None = None, turn: int | None = None
+        self, borrower: str, want: int, lent: int = 0, bound: int | None = None, turn: int | None = None
     ) -> int:
-        self._turns[who] = self._turns.get(who, 0) + 1 if turn is None else turn
-        ask = lenders.Ask(SERVICE, 0, want, lent, lent if bound is None else bound)
-        said = self.lender._loan(who, self._turns[who], ask)
-        return said[0] if said else -1
+        self._turns[borrower] = self._turns.get(borrower, 0) + 1 if turn is None else turn
+        request = lenders.Ask(SERVICE, 0, want, lent, lent if bound is None else bound)
+        reply = self.lender._loan(borrower, self._turns[borrower], request)
+        return reply[0] if reply else -1
 
 
 def test_quiet_ones_leave_some_for_who_needs_it() -> None:
-    desk = _Desk()
-    # Seven coins in this third: five may lie with those that have no need of them.
-    assert [desk.ask(f"p{n}", lenders.QUIET) for n in range(4)] == [3, 2, 0, 0]
-    assert desk.ask("pressed", 9) == 1
-    assert desk.ask("pressed", 9, lent=1) == 2
-    assert desk.ask("pressed", 9, lent=2) == 2
-    # A second one is short of its share: the quiet one is left with one coin at its next ask.
-    assert desk.ask("short", 9) == 0
-    assert desk.ask("p0", lenders.QUIET, lent=3) == 1
-    # Only once it says so itself is what it had free: the answer may have been lost.
-    assert desk.ask("short", 9) == 0
-    assert desk.ask("p0", lenders.QUIET, lent=1) == 1
-    assert desk.ask("short", 9) == 2
+    harness = _LenderHarness()
+    # This third of the floor has seven tokens. Borrowers that do not need any may have five of them.
+    assert [harness.ask(f"p{n}", lenders.QUIET) for n in range(4)] == [3, 2, 0, 0]
+    assert harness.ask("pressed", 9) == 1
+    assert harness.ask("pressed", 9, lent=1) == 2
+    assert harness.ask("pressed", 9, lent=2) == 2
+    # A second borrower gets less than its share, so the quiet one keeps one token at its next request.
+    assert harness.ask("short", 9) == 0
+    assert harness.ask("p0", lenders.QUIET, lent=3) == 1
+    # Its other tokens are free only once it confirms that, since the reply may have been lost.
+    assert harness.ask("short", 9) == 0
+    assert harness.ask("p0", lenders.QUIET, lent=1) == 1
+    assert harness.ask("short", 9) == 2
 
 
 def test_what_is_given_back_is_free_at_once_but_for_what_was_spent() -> None:
-    desk = _Desk()
-    assert desk.ask("a", 9) == 4
-    assert desk.ask("a", lenders.NOTHING, lent=0, bound=1) == 0
-    assert desk.ask("b", 9) == 3
-    assert desk.ask("b", 9, lent=3) == 5
-    assert desk.ask("b", 9, lent=5) == 6
-    assert desk.ask("b", 9, lent=6) == 6
-    # The coin that was spent is free when no window can hold it any more.
-    desk.time.at += CONFIG.loan_duration_s + CONFIG.loan_lapse_s + 0.01
-    assert desk.ask("c", 9) == 4
+    harness = _LenderHarness()
+    assert harness.ask("a", 9) == 4
+    assert harness.ask("a", lenders.NOTHING, lent=0, bound=1) == 0
+    assert harness.ask("b", 9) == 3
+    assert harness.ask("b", 9, lent=3) == 5
+    assert harness.ask("b", 9, lent=5) == 6
+    assert harness.ask("b", 9, lent=6) == 6
+    # The spent token is free once no window can include it any more.
+    harness.clock.now_s += CONFIG.loan_duration_s + CONFIG.loan_lapse_s + 0.01
+    assert harness.ask("c", 9) == 4
 
 
 def test_a_late_or_repeated_ask_is_not_answered_and_changes_nothing() -> None:
-    desk = _Desk()
-    assert desk.ask("a", 9, turn=5) == 4
+    harness = _LenderHarness()
+    assert harness.ask("a", 9, turn=5) == 4
     for turn in (5, 4):
-        # It says that nothing is held: that was so before the loan above.
-        assert desk.ask("a", 9, lent=0, turn=turn) == -1
-    assert desk.ask("b", 9) == 2
+        # The request states that nothing is lent to it, as it was before the loan above.
+        assert harness.ask("a", 9, lent=0, turn=turn) == -1
+    assert harness.ask("b", 9) == 2
 
 
 def test_a_new_lender_keeps_on_what_is_held_and_no_more() -> None:
-    desk = _Desk(fence=2)
-    assert desk.ask("a", 9, lent=3) == 3
-    assert desk.ask("a", 9, lent=3) == 3
-    assert desk.ask("b", 9) == 0
-    # What ran out meanwhile is not lent again, even to who still owes it.
-    assert desk.ask("c", 9, lent=0, bound=2) == 0
-    desk.time.at += CONFIG.takeover_wait_s - 0.01
-    assert desk.ask("b", 9) == 0
-    desk.time.at += 0.02
-    assert desk.ask("b", 9) > 0
+    harness = _LenderHarness(fence=2)
+    assert harness.ask("a", 9, lent=3) == 3
+    assert harness.ask("a", 9, lent=3) == 3
+    assert harness.ask("b", 9) == 0
+    # A loan that expired meanwhile is not renewed, even if its tokens are still owed.
+    assert harness.ask("c", 9, lent=0, bound=2) == 0
+    harness.clock.now_s += CONFIG.takeover_wait_s - 0.01
+    assert harness.ask("b", 9) == 0
+    harness.clock.now_s += 0.02
+    assert harness.ask("b", 9) > 0
 
 
 def test_a_lender_that_lost_its_slot_between_forgets_its_book() -> None:
-    desk = _Desk()
-    assert desk.ask("a", 9) == 4
-    desk.duty.now = duties.Hold(3, desk.time.at, desk.time.at)
-    assert desk.ask("b", 9) == 0
-    assert desk.ask("a", 9, lent=4) == 4
-    desk.duty.now = None
-    assert desk.ask("a", 9, lent=4) == -1
+    harness = _LenderHarness()
+    assert harness.ask("a", 9) == 4
+    harness.duties.current = duties.Hold(3, harness.clock.now_s, harness.clock.now_s)
+    assert harness.ask("b", 9) == 0
+    assert harness.ask("a", 9, lent=4) == 4
+    harness.duties.current = None
+    assert harness.ask("a", 9, lent=4) == -1
 
 
 @pytest.mark.parametrize(
@@ -578,16 +585,16 @@
 
 
 def test_a_lender_that_is_forgotten_before_it_is_asked_ends_nothing(tmp_path: pathlib.Path) -> None:
-    """A freeze between choosing a lender and calling it: nobody is known to live when it is over."""
+    """A proxy freezes between choosing a lender and calling it, and then knows no live registry."""
 
     async def main() -> None:
         world = worlds.World(3, tmp_path)
         machine = world.machine_for("proxy0")
         address = world.address()
-        asked: list[frames.Body] = []
+        calls: list[frames.Body] = []
 
         async def borrow(body: frames.Body) -> frames.Result:
-            asked.append(body)
+            calls.append(body)
             return outcome.failure("no_majority")
 
         server = frames.CallServer({"borrow": borrow}, lambda event, what: None)
@@ -596,23 +603,23 @@
         for part in range(slots.PARTS):
             key = str(slots.lend_slot(SERVICE, part))
             timeline.write(timelines.FENCE, key, {"owner": "core0/1", "fence": 1}, 60.0)
-        known = [{"core0": address}]
-        budget: dict[str, budgets.Budget] = {}
+        known_cores = [{"core0": address}]
+        by_service: dict[str, budgets.Budget] = {}
         borrower = borrowers.Borrower(
             "proxy0",
             "1",
             CONFIG,
             timeline,
             frames.CallClient(machine.net),
-            lambda: known.pop() if known else {},
-            lambda: budget,
+            lambda: known_cores.pop() if known_cores else {},
+            lambda: by_service,
         )
-        budget[SERVICE] = budgets.Budget(CONFIG, borrower.borrowing_since)
-        budget[SERVICE].record_request()
+        by_service[SERVICE] = budgets.Budget(CONFIG, borrower.borrowing_since)
+        by_service[SERVICE].record_request()
         running = asyncio.create_task(borrower.run())
         await asyncio.sleep(2.0)
         assert not running.done()
-        assert asked
+        assert calls
         running.cancel()
 
     loops.run(main())
