--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -1,6 +1,6 @@
-"""Each guard taken away in turn: the failure it is meant for must then show.
+"""Removes each safeguard in turn, and checks that the failure it prevents then occurs.
 
-A day that holds proves little unless the same day breaks without the guard.
+A simulated day without a breach proves little unless the same day has one without the safeguard.
 """
 
 import asyncio
@@ -38,16 +38,18 @@
 import dykeswitch.soundness.connection as connections
 import dykeswitch.timeline as timelines
 
-Wreck = typing.Callable[[pytest.MonkeyPatch], None]
+RemoveGuard = typing.Callable[[pytest.MonkeyPatch], None]
 
 
 def _no_proof(patch: pytest.MonkeyPatch) -> None:
-    async def proven(connection: connections.EndpointConnection, path: str, served_by: bytes) -> None:
+    """Connections to endpoints are used without a probe."""
+
+    async def verify_nothing(connection: connections.EndpointConnection, path: str, served_by: bytes) -> None:
         return None
 
-    patch.setattr(connections, "verify", proven)
-    # A request names the endpoint that it is for, and any other refuses it: with that guard
-    # alone the address holds too, so both are taken away.
+    patch.setattr(connections, "verify", verify_nothing)
+    # A request also names the endpoint that it is for, and any other endpoint refuses it. That check
+    # alone prevents the failure as well, so both are removed.
     patch.setattr(adapters.DefaultAdapter, "header_names", adapters.HeaderNames(expected=b"x-nobody"))
 
 
@@ -55,7 +57,7 @@
     patch.setattr(
         carriers.Carrier, "_is_spent", lambda self, exchange: exchange.attempts >= exchange.max_tries
     )
-    # The budget would hide it: few extra go's are paid for in a day this short.
+    # The budget would hide the failure, since it covers few extra attempts in a day this short.
     _no_budget(patch)
 
 
@@ -64,7 +66,7 @@
 
 
 def _tries_for_ever(patch: pytest.MonkeyPatch) -> None:
-    # Orders are still kept to what holds for them: this is of reading alone.
+    # Writing requests keep their limit: only reading ones are retried without end.
     patch.setattr(
         carriers.Carrier, "_is_spent", lambda self, exchange: exchange.writing and exchange.attempts > 0
     )
@@ -72,37 +74,41 @@
 
 
 def _keeps_what_failed(patch: pytest.MonkeyPatch) -> None:
+    """A response that breaks off after its head is replaced by an empty success."""
     deliver = deliveries.Delivery.deliver
 
-    async def delivered(self: deliveries.Delivery, exchange: exchanges.Exchange) -> None:
+    async def deliver_and_keep(self: deliveries.Delivery, exchange: exchanges.Exchange) -> None:
         await deliver(self, exchange)
         if exchange.head_came and exchange.answer is None:
             exchange.answer = exchanges.Answer(connections.ResponseHead(200, []), b"", None)
 
-    patch.setattr(deliveries.Delivery, "deliver", delivered)
+    patch.setattr(deliveries.Delivery, "deliver", deliver_and_keep)
 
 
 def _hands_on_all_time(patch: pytest.MonkeyPatch) -> None:
-    own = headers.request_headers
+    """Each attempt gets the time of the whole exchange, not the time that is left."""
+    request_headers = headers.request_headers
 
-    def from_the_begin(
+    def with_all_time(
         exchange: exchanges.Exchange, adapter: adapters.Adapter, names: adapters.HeaderNames, now: float
     ) -> connections.Headers:
-        return own(exchange, adapter, names, exchange.started_at)
+        return request_headers(exchange, adapter, names, exchange.started_at)
 
-    patch.setattr(headers, "request_headers", from_the_begin)
+    patch.setattr(headers, "request_headers", with_all_time)
 
 
 def _deaf_to_departures(patch: pytest.MonkeyPatch) -> None:
+    """A proxy does not learn that clients have left."""
     patch.setattr(departures.Departure, "announce", lambda self: None)
 
 
 def _cut_passes(patch: pytest.MonkeyPatch) -> None:
-    whole = connections.EndpointConnection.parts
+    """An incomplete response body is accepted as complete."""
+    complete_parts = connections.EndpointConnection.parts
 
     async def parts(self: connections.EndpointConnection) -> typing.AsyncIterator[bytes]:
         try:
-            async for part in whole(self):
+            async for part in complete_parts(self):
                 yield part
         except connections.EndpointConnectionError:
             return
@@ -111,28 +117,32 @@
 
 
 def _always_hint(patch: pytest.MonkeyPatch) -> None:
-    answer = answering.Answering.refuse
+    """Every refusal has a Retry-After header."""
+    refuse = answering.Answering.refuse
 
-    async def hinted(
+    async def refuse_with_hint(
         self: answering.Answering, exchange: exchanges.Exchange, failure: outcome.Failure
     ) -> None:
         exchange.retry_after = 1
-        await answer(self, exchange, failure)
+        await refuse(self, exchange, failure)
 
-    patch.setattr(answering.Answering, "refuse", hinted)
+    patch.setattr(answering.Answering, "refuse", refuse_with_hint)
 
 
 def _forgetful_storage(patch: pytest.MonkeyPatch) -> None:
+    """Only records with internal keys (`@...`) are stored."""
     put = storage.Storage.put
 
-    def forget(self: storage.Storage, key: str, record: typing.Any) -> None:
+    def put_internal(self: storage.Storage, key: str, record: typing.Any) -> None:
         if key.startswith("@"):
             put(self, key, record)
 
-    patch.setattr(storage.Storage, "put", forget)
+    patch.setattr(storage.Storage, "put", put_internal)
 
 
 def _rude_stop(patch: pytest.MonkeyPatch) -> None:
+    """A stopping proxy does not wait for the requests that it has accepted."""
+
     async def leave(self: proxies.Proxy) -> None:
         assert self._server is not None
         await self._server.stop(0.0)
@@ -141,20 +151,21 @@
 
 
 def _deaf_to_leaving(patch: pytest.MonkeyPatch) -> None:
-    note = selection.Selector._on_entry
+    """Selection ignores that endpoints leave."""
+    on_entry = selection.Selector._on_entry
 
-    def deaf(self: typing.Any, entry: typing.Any) -> None:
+    def ignore_leaving(self: typing.Any, entry: typing.Any) -> None:
         if entry.fields.get("state") != "left":
-            note(self, entry)
+            on_entry(self, entry)
 
-    patch.setattr(selection.Selector, "_on_entry", deaf)
+    patch.setattr(selection.Selector, "_on_entry", ignore_leaving)
     patch.setattr(selection.Selector, "up", _up_of_all)
     patch.setattr(selection.Selector, "usable", lambda self, entry: True)
 
     def subset(self: typing.Any, service: str, tried: set[str]) -> list[typing.Any]:
         return [entry for entry in self.up(service) if entry.key not in tried]
 
-    # The subset that selection is made among looks at the state of endpoints by itself.
+    # The choice of the subset checks the state of endpoints by itself.
     patch.setattr(selection.Selector, "_subset", subset)
 
 
@@ -163,21 +174,23 @@
 
 
 def _hears_forever(patch: pytest.MonkeyPatch) -> None:
+    """A proxy never finds that it is cut off."""
     patch.setattr(proxies.Proxy, "silence_s", lambda self: 0.0)
 
 
 def _no_fence(patch: pytest.MonkeyPatch) -> None:
-    # The prober's own look at its clock covers for the fence: both are taken away.
+    # The prober's check of its clock also prevents the failure, so both are removed.
     patch.setattr(timelines.Timeline, "_fence_holds", lambda self, entry: True)
     patch.setattr(probers.Prober, "_stale", lambda self, begun: False)
 
 
 def _no_last_call(patch: pytest.MonkeyPatch) -> None:
+    """A stopping proxy does not limit its exchanges to the grace period."""
     patch.setattr(proxies.Proxy, "_hurry", lambda self, exchange: None)
 
 
 def _lends_at_once(patch: pytest.MonkeyPatch) -> None:
-    # Neither waiting for what the lender before lent, nor counting it as out.
+    # A new lender neither waits for the loans of its predecessor to end, nor counts them.
     patch.setattr(lenders.Lender, "_waits", lambda self, hold: 0.0)
 
 
@@ -186,12 +199,13 @@
 
 
 def _no_knocking(patch: pytest.MonkeyPatch) -> None:
+    """Members do not look for lost members at their former addresses."""
     patch.setattr(membership.Gossip, "_stranger", lambda self: None)
 
 
 def _confirms_by_memory(patch: pytest.MonkeyPatch) -> None:
-    # Asking a majority, and knowing of a newer layout without holding it, cover for each
-    # other at a core that lags: both are taken away.
+    # At a core that lags, two checks each prevent the failure: reading from a majority, and knowing
+    # that there is a newer layout that the core does not have. Both are removed.
     async def read(self: publishers.Publisher) -> None:
         return None
 
@@ -200,11 +214,11 @@
         return True
 
     catch_up = documents.Documents.catch_up
-    reading = publishers.Publisher.read_documents
+    read_documents = publishers.Publisher.read_documents
 
     async def keep(self: upkeeps.Upkeep) -> None:
         while True:
-            await reading(self._parts.publisher)
+            await read_documents(self._parts.publisher)
             await asyncio.sleep(self._config.sweep_interval_s)
 
     patch.setattr(publishers.Publisher, "read_documents", read)
@@ -213,31 +227,37 @@
 
 
 def _slips_back(patch: pytest.MonkeyPatch) -> None:
+    """A proxy returns to the previous layout for a while."""
     reads = proxies.Proxy._reads
 
-    async def slip(self: proxies.Proxy, name: str, version: int, data: bytes) -> documents.Apply | None:
+    async def read_and_revert(
+        self: proxies.Proxy, name: str, version: int, data: bytes
+    ) -> documents.Apply | None:
         old = self.carrier.layout
         apply = await reads(self, name, version, data)
         if apply is None or name != documents.LAYOUT or old is None:
             return apply
 
-        def back() -> None:
+        def apply_and_revert() -> None:
             apply()
-            fresh = self.carrier.layout
+            new = self.carrier.layout
             loop = asyncio.get_running_loop()
             loop.call_later(0.6, lambda: setattr(self.carrier, "layout", old))
-            loop.call_later(1.2, lambda: setattr(self.carrier, "layout", fresh))
+            loop.call_later(1.2, lambda: setattr(self.carrier, "layout", new))
 
-        return back
+        return apply_and_revert
 
-    patch.setattr(proxies.Proxy, "_reads", slip)
+    patch.setattr(proxies.Proxy, "_reads", read_and_revert)
 
 
 def _breaks_are_accepted(patch: pytest.MonkeyPatch) -> None:
+    """The layout check reports no faults."""
     patch.setattr(checker.Checker, "fault", lambda self, path, text: None)
 
 
 def _slow_news(patch: pytest.MonkeyPatch) -> None:
+    """Proxies fetch documents only every five seconds."""
+
     async def keep(self: proxies.Proxy) -> None:
         while True:
             await asyncio.sleep(5.0)
@@ -247,10 +267,12 @@
 
 
 def _reads_by_memory(patch: pytest.MonkeyPatch) -> None:
+    """Reads of the layout return the local copy instead of asking a majority."""
+
     async def newest(self: orders.Orders) -> outcome.Success[register.Value] | outcome.Failure:
-        held = self._parts.publisher.documents
-        version = held.version(documents.LAYOUT)
-        return outcome.Success(register.Value(version, held.body(documents.LAYOUT)))
+        stored = self._parts.publisher.documents
+        version = stored.version(documents.LAYOUT)
+        return outcome.Success(register.Value(version, stored.body(documents.LAYOUT)))
 
     patch.setattr(orders.Orders, "newest", newest)
 
@@ -264,21 +286,21 @@
 
 
 def _never_mends(patch: pytest.MonkeyPatch) -> None:
-    # Reads that find copies apart and the sweep cover for each other: both are taken away.
+    # Reads that find different copies repair them, and so does the sweep. Both are removed.
     async def repair_copies(self: proposers.Proposer) -> int:
         return 0
 
     async def read(self: proposers.Proposer, key: str) -> proposers.Read:
-        have = self.copies._held.get(key)
-        found = await self.copies.everyone(key)
-        if len(found) < 2:
+        stored = self.copies._held.get(key)
+        copies = await self.copies.everyone(key)
+        if len(copies) < 2:
             return outcome.failure("no_majority")
-        top = max(copy.ballot for copy in found.values())
-        newest = {disk: copy for disk, copy in found.items() if copy.ballot == top}
-        return outcome.Success(self.copies._value_of(key, top, newest, have))
+        highest = max(copy.ballot for copy in copies.values())
+        newest = {disk: copy for disk, copy in copies.items() if copy.ballot == highest}
+        return outcome.Success(self.copies._value_of(key, highest, newest, stored))
 
     patch.setattr(proposers.Proposer, "repair_copies", repair_copies)
-    # Each read waits for the core that is down: with all the changes it is a day of five minutes.
+    # Each read waits for the core that is down: with all the changes, a day would take five minutes.
     patch.setattr(control, "CHANGES", 24)
     patch.setattr(proposers.Proposer, "read", read)
 
@@ -288,15 +310,16 @@
 
 
 def _keeps_heartbeats_to_itself(patch: pytest.MonkeyPatch) -> None:
+    """A core that is cut off still acknowledges heartbeats."""
     patch.setattr(standing.Standing, "has_majority", lambda self: True)
 
 
-GUARDS: typing.Final[list[tuple[Wreck, str, str]]] = [
+GUARDS: typing.Final[list[tuple[RemoveGuard, str, str]]] = [
     (_no_proof, "hand_over_address", "right_owner"),
     (_always_retry, "lose_replies", "run_twice"),
     (_no_budget, "fail_service", "extra_bound"),
     (_tries_for_ever, "every_run_fails", "tries_bounded"),
-    # A route that changes between two attempts.
+    # Routes that change between two attempts.
     (_keeps_what_failed, "remove_route_amid_reads", "whole_replies"),
     (_always_retry, "route_writes_amid_reads", "not_run_again"),
     (_tries_for_ever, "route_has_one_try_amid_reads", "not_run_again"),
@@ -321,52 +344,52 @@
     (_confirms_by_memory, "cut_one_core", "layout_in_time"),
     (_slips_back, "jump_all_clocks", "layout_order_by_traffic"),
     (_breaks_are_accepted, "race_operators", "broken_refused"),
-    # A core that is cut off for long.
+    # A core that is cut off for a long time.
     (_reads_by_memory, "cut_core_long", "register_holds"),
     (_reads_by_memory, "cut_core_long_in", "register_holds"),
     (_reads_by_memory, "cut_core_long_out", "register_holds"),
     (_keeps_heartbeats_to_itself, "cut_core_long", "not_turned_away"),
-    # Two operators, and orders sent again.
+    # Two operators, and orders that are sent again.
     (_one_vote_decides, "two_operators", "one_body_per_version"),
     (_forgets_orders, "two_operators", "never_refused_again"),
     # A second loss after a repair, and a member that leaves.
     (_one_vote_decides, "second_loss", "register_holds"),
     (_one_vote_decides, "leaving_core", "register_holds"),
-    # Hundreds of changes, and members that start again or wake.
+    # Hundreds of changes, and members that restart or resume.
     (_never_mends, "hundreds_of_changes", "no_crash"),
     (_reads_by_memory, "hundreds_of_changes", "register_holds"),
-    # Answers that come late, and calls that may not be repeated.
+    # Late responses, and requests that may not be repeated.
     (_takes_any_answer, "late_answers", "own_replies"),
     (_always_retry, "late_answers", "run_twice"),
 ]
 
 
-@pytest.mark.parametrize(("wreck", "fault", "point"), GUARDS)
+@pytest.mark.parametrize(("remove_guard", "fault", "point"), GUARDS)
 def test_without_its_guard_the_failure_shows(
-    wreck: Wreck, fault: str, point: str, monkeypatch: pytest.MonkeyPatch
+    remove_guard: RemoveGuard, fault: str, point: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    wreck(monkeypatch)
+    remove_guard(monkeypatch)
     shape = "brook" if fault in control.FAULTS else "ghent"
-    found: set[str] = set()
-    # Some failures need luck to show: a few seeds may be needed for one.
-    # With seeds 31, 32 and 34 the writing service is the one that misbehaves.
-    # With 31 those who lent and those who had something die at a bad moment.
-    # With 30, 38 and 42 a write's connection is reset amid its run; with 32, 37 and 40 a late
-    # answer comes where another request waits.
-    # With 24, 41, 42 and 57 the last one that holds an order is the one that is lost.
-    picked = {
+    breaches: set[str] = set()
+    # Some failures occur only by chance, so several seeds may be needed.
+    # With seeds 31, 32 and 34 the writing service is the faulty one.
+    # With 31, lenders and borrowers are killed at an unfavourable time.
+    # With 30, 38 and 42 the connection of a writing request is reset while the request runs; with 32,
+    # 37 and 40 a late response arrives while another request waits.
+    # With 24, 41, 42 and 57 the last member that has an order is the one that is lost.
+    seeds_by_fault = {
         "lose_replies": (31, 32, 34, 35),
         "lose_lenders": (31, 32, 34, 35),
         "late_answers": (32, 30, 37, 38, 40, 42),
         "second_loss": (24, 41, 46, 48),
         "leaving_core": (42, 57, 58, 60, 66),
     }
-    seeds = picked.get(fault, (33, 31, 32, 34, 35, 36))
+    seeds = seeds_by_fault.get(fault, (33, 31, 32, 34, 35, 36))
     for seed in seeds:
         try:
-            found |= set(trials.one_day(shape, seed, (fault,), 0.1, 3.0).breaches)
-        except TimeoutError as flaw:
-            found.add(str(flaw))
-        if point in found:
+            breaches |= set(trials.one_day(shape, seed, (fault,), 0.1, 3.0).breaches)
+        except TimeoutError as error:
+            breaches.add(str(error))
+        if point in breaches:
             return
-    raise AssertionError(f"{fault} without its guard broke {sorted(found)}, not {point}")
+    raise AssertionError(f"{fault} without its safeguard breached {sorted(breaches)}, not {point}")
