--- a/packages/proxy/src/dykeswitch/proxy/budget.py
+++ b/packages/proxy/src/dykeswitch/proxy/budget.py
@@ -109,8 +109,8 @@
     def bound(self, part: int, now: float) -> int:
         """Return the most tokens of one part that this proxy may owe until the next loan arrives.
 
-        A debt beyond the current loans goes back to a loan that has shrunk or ended since. It is not
-        known which part that was, so the excess is reported to the lender of each part.
+        A debt beyond the current loans stems from a loan that has shrunk or ended since. It is not known
+        which part that loan was of, so the excess is reported to the lender of each part.
         """
         excess = math.ceil(self.owed(now) - self.lent(now) - ROUNDING_TOLERANCE)
         return self.part(part, now) + max(0, excess)
--- a/packages/proxy/src/dykeswitch/proxy/selection.py
+++ b/packages/proxy/src/dykeswitch/proxy/selection.py
@@ -93,6 +93,7 @@
         self._config = config
         self._zone = config.zone
         self._rng = rng
+        # Number of this proxy's attempts in flight, by endpoint.
         self.in_flight: dict[str, int] = {}
         self.paused: typing.Callable[[str], str | None] = lambda endpoint: None
         self._services: dict[str, set[str]] = {}
