--- a/packages/proxy/src/dykeswitch/proxy/carrier.py
+++ b/packages/proxy/src/dykeswitch/proxy/carrier.py
@@ -1,4 +1,4 @@
-"""The carrier: the passes that bring an exchange from request to reply."""
+"""Runs the stages that take an exchange from a matched request to its response."""
 
 import random
 import typing
@@ -19,24 +19,24 @@
 import dykeswitch.proxy.matching as matching
 import dykeswitch.proxy.presence as presence
 import dykeswitch.proxy.selection as selection
-import dykeswitch.proxy.senses as senses_port
+import dykeswitch.proxy.senses as senses
 import dykeswitch.proxy.trails as trails
 import dykeswitch.settings as settings
 import dykeswitch.soundness as soundness
 import dykeswitch.soundness.connection as connections
 import dykeswitch.timeline as timelines
 
-# Connections that failed before anything was sent cost the endpoint nothing; still one
-# exchange does not try the whole fleet.
-MISSES_MOST: typing.Final = 6
+# A connection that fails before anything is sent costs the endpoint nothing and is not counted as an
+# attempt. The limit keeps one exchange from trying the whole fleet.
+MAX_CONNECT_FAILURES: typing.Final = 6
 
 Stage = exchanges.Stage
-# Passes that nobody is served by any more once the caller has left.
-FOR_THE_CALLER: typing.Final = frozenset({Stage.SELECT, Stage.RETRY, Stage.REPLY})
+# Stages that are pointless once the client has disconnected.
+STAGES_FOR_CLIENT: typing.Final = frozenset({Stage.SELECT, Stage.RETRY, Stage.REPLY})
 
 
 class Carrier:
-    """Holds the table of exchanges and runs the passes over it."""
+    """Keeps the table of exchanges in progress and runs their stages."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         marks: timelines.Marks,
         log: logs.Log,
         rng: random.Random,
-        senses: senses_port.Senses,
+        fleet_status: senses.FleetStatus,
         adapter: adapters.Adapter | None = None,
     ) -> None:
         adapter = adapter or adapters.DefaultAdapter()
@@ -55,19 +55,25 @@
         self._clock = machine.clock
         self._marks = marks
         self._log = log
-        self._senses = senses
+        self._fleet_status = fleet_status
         self.selector = selection.Selector(timeline, marks, config, rng)
         self.table: dict[str, exchanges.Exchange] = {}
         self._trails = trails.Trails(self.table)
         self._counters = counters.Counters()
-        self._delivery = deliveries.Delivery(config, machine, timeline, self.selector, senses, adapter)
+        self._delivery = deliveries.Delivery(config, machine, timeline, self.selector, fleet_status, adapter)
         self._marker = marking.Marker(config, self._clock, marks, self.selector, self._counters, log)
         self._ends = endings.Endings(config, self._clock, self.selector)
         self._judgement = judgements.Judgement(
-            adapter, self.selector, self._delivery, self._marker, self._ends, self._step
+            adapter, self.selector, self._delivery, self._marker, self._ends, self._add_step
         )
-        self._answering = answering.Answering(
-            self._clock, adapter, self._delivery, self._marker, self._ends, self._counters, self._parting
+        self._responder = answering.Responder(
+            self._clock,
+            adapter,
+            self._delivery,
+            self._marker,
+            self._ends,
+            self._counters,
+            self._should_close_connections,
         )
         self._passes: dict[Stage, typing.Callable[[exchanges.Exchange], typing.Awaitable[Stage]]] = {
             Stage.MATCH: self._match,
@@ -78,11 +84,11 @@
             Stage.REPLY: self._reply,
         }
 
-    # What the program sets and asks.
+    # State set and read by the proxy program.
 
     @property
     def layout(self) -> layouts.Layout | None:
-        """The layout by which exchanges go."""
+        """The layout that exchanges are routed by."""
         return self._delivery.layout
 
     @layout.setter
@@ -91,7 +97,7 @@
 
     @property
     def closing(self) -> bool:
-        """Whether this proxy stops."""
+        """Whether this proxy is shutting down."""
         return self._delivery.closing
 
     @closing.setter
@@ -100,57 +106,61 @@
 
     @property
     def counts(self) -> dict[str, int]:
-        """What was counted, by name."""
+        """The counters by name."""
         return self._counters.values
 
     @property
     def budgets(self) -> dict[str, budgets.Budget]:
-        """The budgets of extra attempts, by service."""
+        """The budgets for extra attempts, by service."""
         return self._delivery.budgets
 
     def count(self, name: str) -> None:
-        """Count one more of something."""
+        """Increment a counter."""
         self._counters.add(name)
 
-    def most(self, name: str, value: int) -> None:
-        """Keep the most that was seen of something."""
-        self._counters.most(name, value)
+    def record_max(self, name: str, value: int) -> None:
+        """Raise a counter to a value if it is lower."""
+        self._counters.record_max(name, value)
 
     def trail(self, name: str) -> list[exchanges.Step] | None:
-        """What was done for an exchange that is over or at work."""
+        """Return the steps of an exchange that is in progress or recently finished."""
         return self._trails.get(name)
 
     def idle(self) -> int:
-        """How many usable connections lie idle."""
+        """Return the number of idle connections that can be reused."""
         return self._delivery.idle()
 
     def close(self) -> None:
-        """Close every idle connection."""
+        """Close all idle connections."""
         self._delivery.close()
 
     async def refuse(self, exchange: exchanges.Exchange, failure: outcome.Failure) -> None:
-        """Answer an exchange that is not carried at all."""
-        await self._answering.refuse(exchange, failure)
+        """Answer an exchange with a failure, without processing it."""
+        await self._responder.refuse(exchange, failure)
 
-    # The life of an exchange.
+    # Lifecycle of an exchange.
 
-    async def carry(self, exchange: exchanges.Exchange) -> None:
-        """Run the passes over one exchange until it is done; `CallerLeftError` where nobody waits for it."""
+    async def process(self, exchange: exchanges.Exchange) -> None:
+        """Run an exchange through its stages until it is done.
+
+        Raises:
+            presence.ClientLeftError: The client disconnected before the response was complete.
+        """
         self.count("exchanges")
         try:
             while exchange.stage is not Stage.DONE:
                 exchange.stage = await self._passes[exchange.stage](exchange)
-                if exchange.left_at is not None and exchange.stage in FOR_THE_CALLER:
-                    await self._answering.finish_for_nobody(exchange)
-                    raise presence.CallerLeftError
+                if exchange.client_left_at is not None and exchange.stage in STAGES_FOR_CLIENT:
+                    await self._responder.drain_response(exchange)
+                    raise presence.ClientLeftError
         finally:
             if exchange.connection is not None:
-                self._delivery.put_away(exchange, sound=False)
+                self._delivery.release_connection(exchange, reusable=False)
             self._trails.remember(exchange, self._clock.now())
-            self._say(exchange)
+            self._log_exchange(exchange)
 
-    def _say(self, exchange: exchanges.Exchange) -> None:
-        """One line in the log for an exchange that is over."""
+    def _log_exchange(self, exchange: exchanges.Exchange) -> None:
+        """Log one line for a finished exchange."""
         self._log.info(
             "exchange",
             exchange=exchange.name,
@@ -165,87 +175,97 @@
             status=exchange.status,
             result=exchange.failure.code.number if exchange.failure else 0,
             span_ms=round((self._clock.now() - exchange.started_at) * 1000, 1),
-            left_ms=round((exchange.left_at - exchange.started_at) * 1000, 1)
-            if exchange.left_at is not None
+            left_ms=round((exchange.client_left_at - exchange.started_at) * 1000, 1)
+            if exchange.client_left_at is not None
             else None,
         )
 
-    def _step(self, exchange: exchanges.Exchange, what: str, why: str = "") -> None:
-        exchange.note(self._clock.now(), what, why)
+    def _add_step(self, exchange: exchanges.Exchange, what: str, why: str = "") -> None:
+        exchange.add_step(self._clock.now(), what, why)
 
-    def caller_left(self, exchange: exchanges.Exchange) -> None:
-        """Note that an exchange's caller has left, and how far the exchange had come."""
-        exchange.left_at = self._clock.now()
+    def client_left(self, exchange: exchanges.Exchange) -> None:
+        """Record that the client disconnected, and how far the exchange had come."""
+        exchange.client_left_at = self._clock.now()
         exchange.failure = outcome.failure("caller_left")
         exchange.status = exchange.failure.code.status
-        where = "amid_answer" if exchange.replied else "at_work" if exchange.under_way() else "before_sending"
+        where = (
+            "amid_answer"
+            if exchange.response_started
+            else "at_work"
+            if exchange.is_in_flight()
+            else "before_sending"
+        )
         self.count(f"callers_left_{where}")
-        if exchange.under_way() and self.may_end(exchange):
+        if exchange.is_in_flight() and self.may_cancel(exchange):
             self.count("attempts_broken_off")
-        self._step(exchange, "its caller left", where.replace("_", " "))
+        self._add_step(exchange, "client disconnected", where.replace("_", " "))
 
     @staticmethod
-    def may_end(exchange: exchanges.Exchange) -> bool:
-        """Whether an exchange may be broken off: not an order that has been sent, it may be running."""
-        return not (exchange.writing and exchange.under_way())
+    def may_cancel(exchange: exchanges.Exchange) -> bool:
+        """Return whether an exchange may be cancelled.
 
-    async def cut_short(self, exchange: exchanges.Exchange) -> None:
-        """The grace of an orderly stop is over: a final answer before the connection closes."""
+        A writing request that has been sent may be running at the endpoint and is not cancelled.
+        """
+        return not (exchange.writing and exchange.is_in_flight())
+
+    async def finish_at_stop(self, exchange: exchanges.Exchange) -> None:
+        """Send a final answer because the grace period of an orderly stop is almost over."""
         self.count("cut_short")
-        self._step(exchange, "cut short", "this proxy is stopping")
-        if exchange.replied:
-            raise answering.BrokenReplyError("stopped before the reply's end")
-        exchange.answer = None
-        if exchange.sent or exchange.unknown:
+        self._add_step(exchange, "ended early", "this proxy is stopping")
+        if exchange.response_started:
+            raise answering.BrokenResponseError("proxy stopped before the end of the response")
+        exchange.response = None
+        if exchange.sent or exchange.unknown_reason:
             self._ends.end(exchange, "timed_out", "this proxy stopped")
         else:
             exchange.retry_after = 1
             self._ends.end(exchange, "stopping")
-        await self._answering.answer(exchange)
+        await self._responder.respond(exchange)
 
-    def _deaf(self) -> bool:
-        """Whether an endpoint may have left, or a rule moved, too long ago for us to know of it."""
-        return self._senses.silence_s() > self._config.drain_s
+    def _is_stale(self) -> bool:
+        """Return whether no node was heard for so long that departures or rule changes may be missed."""
+        return self._fleet_status.silence_s() > self._config.drain_s
 
-    def _parting(self) -> bool:
-        """Whether callers are to go elsewhere with their next request."""
-        return self.closing or self._senses.silence_s() > self._config.isolated_after_s
+    def _should_close_connections(self) -> bool:
+        """Return whether clients should send their next request to another proxy."""
+        return self.closing or self._fleet_status.silence_s() > self._config.isolated_after_s
 
-    # The passes.
+    # Stages.
 
     async def _match(self, exchange: exchanges.Exchange) -> Stage:
-        # Its expiry by the rule in hand bounds the wait to be sure of that very rule.
+        # Confirming the layout may take until the deadline, which the known rule sets for now.
         if self.layout is not None:
             matching.find_rule(exchange, self.layout, self._config, self._rng)
-        # After a freeze the layout and list in hand may be long out of date.
-        is_fresh = await self._senses.confirm_fresh(exchange.expiry)
-        found = (
+        # After the process was frozen, the layout and the endpoint list may be long out of date.
+        is_fresh = await self._fleet_status.confirm_fresh(exchange.deadline)
+        failure_tag = (
             matching.find_rule(exchange, self.layout, self._config, self._rng)
             if exchange.layout is None or exchange.layout is not self.layout
             else None
         )
-        if not is_fresh and found != "no_layout":
+        if not is_fresh and failure_tag != "no_layout":
             return self._ends.give_up(
-                exchange, "cut_off" if self._clock.now() < exchange.expiry else "expired"
+                exchange, "cut_off" if self._clock.now() < exchange.deadline else "expired"
             )
-        if found is not None:
-            return self._ends.end(exchange, found)
+        if failure_tag is not None:
+            return self._ends.end(exchange, failure_tag)
         self._delivery.budget(exchange.service).request()
         return Stage.SELECT
 
     async def _select(self, exchange: exchanges.Exchange) -> Stage:
-        is_fresh = await self._senses.confirm_fresh(exchange.expiry)
-        # A layout may have come since: the rule of this moment decides.
-        found = matching.find_rule(exchange, self.layout, self._config, self._rng)
-        if found is not None:
-            return self._no_rule_left(exchange, found)
-        if self._is_spent(exchange):
+        is_fresh = await self._fleet_status.confirm_fresh(exchange.deadline)
+        # The layout may have changed in the meantime: the current rule decides.
+        failure_tag = matching.find_rule(exchange, self.layout, self._config, self._rng)
+        if failure_tag is not None:
+            return self._end_without_rule(exchange, failure_tag)
+        if self._attempts_exhausted(exchange):
             return self._ends.give_up(exchange, "not_run")
-        if self._clock.now() >= exchange.expiry:
+        if self._clock.now() >= exchange.deadline:
             return self._ends.give_up(exchange, "expired")
-        # The platform has asked since we were cut off: who comes all the same is told
-        # at once, for the last list in hand may be out of date by now.
-        if not is_fresh or self._deaf():
+        # Since this proxy was isolated, the platform has seen on its readiness page that it is not ready.
+        # Requests that arrive nevertheless are refused at once, because the last known endpoint list
+        # may be out of date.
+        if not is_fresh or self._is_stale():
             return self._ends.give_up(exchange, "cut_off")
         entry = self.selector.select(
             exchange.service, exchange.tried_endpoints, exchange.rule.aim_s if exchange.rule else None
@@ -255,39 +275,41 @@
         exchange.endpoint = entry
         exchange.tried_endpoints.add(entry.key)
         mark = self._marks.mark_of(entry.key)
-        why = f"all are marked; its mark ends first ({mark.fields['reason']})" if mark else "open"
-        self._step(exchange, f"selected {entry.key}", why)
+        why = f"all are marked; this mark expires first ({mark.fields['reason']})" if mark else "not marked"
+        self._add_step(exchange, f"selected {entry.key}", why)
         return await self._connect(exchange, entry)
 
-    def _no_rule_left(self, exchange: exchanges.Exchange, tag: str) -> Stage:
-        """The layout sends the exchange nowhere any more: what the attempts before came to is its end."""
+    def _end_without_rule(self, exchange: exchanges.Exchange, tag: str) -> Stage:
+        """End an exchange that has no rule in the layout any more, with the result of its attempts."""
         if exchange.attempts:
             self.count("rules_gone_between_attempts")
-            self._step(exchange, "no further go", f"the layout has changed: {tag}")
-        if exchange.unknown or exchange.answer is not None:
+            self._add_step(exchange, "no further attempt", f"the layout has changed: {tag}")
+        if exchange.unknown_reason or exchange.response is not None:
             return self._ends.give_up(exchange, tag)
         return self._ends.end(exchange, tag)
 
     async def _connect(self, exchange: exchanges.Exchange, entry: timelines.Entry) -> Stage:
-        """Take a connection to the selected endpoint, and pay for the attempt if it is an extra one."""
+        """Connect to the selected endpoint, and take a retry token if the attempt is an extra one."""
         try:
             await self._delivery.connect(exchange, entry)
-        except connections.EndpointConnectionError as flaw:
-            # Nothing was sent: this is no attempt, and another endpoint may be selected.
+        except connections.EndpointConnectionError as error:
+            # Nothing was sent, so this is not an attempt and another endpoint may be selected.
             exchange.connect_failures += 1
-            self._step(exchange, f"no connection to {entry.key}", flaw.reason)
-            if flaw.reason != "expired":
-                self._marker.failed(entry.key, soundness.flaw_fault(flaw.reason))
+            self._add_step(exchange, f"no connection to {entry.key}", error.reason)
+            if error.reason != "expired":
+                self._marker.record_failure(entry.key, soundness.flaw_fault(error.reason))
             return (
                 self._ends.give_up(exchange, "no_endpoint")
-                if exchange.connect_failures >= MISSES_MOST
+                if exchange.connect_failures >= MAX_CONNECT_FAILURES
                 else Stage.SELECT
             )
-        # Extra attempts are paid for from the shared budget, right before they are made.
+        # Extra attempts are paid for from the shared budget immediately before they are made.
         if exchange.attempts and not self._delivery.budget(exchange.service).take(self._clock.now()):
             self.count("over_budget")
-            self._step(exchange, "no further go", "the shared budget of extra go's is spent")
-            self._delivery.put_away(exchange, sound=True)
+            self._add_step(
+                exchange, "no further attempt", "the shared budget for extra attempts is exhausted"
+            )
+            self._delivery.release_connection(exchange, reusable=True)
             return self._ends.give_up(exchange, "not_run")
         return Stage.DELIVER
 
@@ -299,16 +321,16 @@
         return self._judgement.judge(exchange)
 
     async def _retry(self, exchange: exchanges.Exchange) -> Stage:
-        return self._ends.give_up(exchange, "not_run") if self._is_spent(exchange) else Stage.SELECT
+        return self._ends.give_up(exchange, "not_run") if self._attempts_exhausted(exchange) else Stage.SELECT
 
-    def _is_spent(self, exchange: exchanges.Exchange) -> bool:
-        """Whether the rule in hand lets no attempt follow those that were made."""
-        # Only what surely did not run may be repeated when it writes.
+    def _attempts_exhausted(self, exchange: exchanges.Exchange) -> bool:
+        """Return whether the current rule allows no further attempt."""
+        # A writing request may be repeated only if no attempt can have run.
         if exchange.writing and exchange.may_have_run():
-            self._step(exchange, "not repeated", "it writes, and may have run")
+            self._add_step(exchange, "not repeated", "it writes, and may have run")
             return True
         return exchange.attempts >= exchange.max_tries
 
     async def _reply(self, exchange: exchanges.Exchange) -> Stage:
-        await self._answering.answer(exchange)
+        await self._responder.respond(exchange)
         return Stage.DONE
--- a/packages/proxy/src/dykeswitch/proxy/counters.py
+++ b/packages/proxy/src/dykeswitch/proxy/counters.py
@@ -1,16 +1,16 @@
-"""What a proxy counts, by name."""
+"""The proxy's counters."""
 
 
 class Counters:
-    """Numbers that only grow, for the counters page."""
+    """Named values for the counters page, which never decrease."""
 
     def __init__(self) -> None:
         self.values: dict[str, int] = {}
 
     def add(self, name: str) -> None:
-        """Count one more of something."""
+        """Increment a counter."""
         self.values[name] = self.values.get(name, 0) + 1
 
-    def most(self, name: str, value: int) -> None:
-        """Keep the most that was seen of something."""
+    def record_max(self, name: str, value: int) -> None:
+        """Raise a counter to a value if it is lower."""
         self.values[name] = max(self.values.get(name, 0), value)
--- a/packages/proxy/src/dykeswitch/proxy/delivery.py
+++ b/packages/proxy/src/dykeswitch/proxy/delivery.py
@@ -1,4 +1,4 @@
-"""One attempt: a connection to the selected endpoint, the request on it, the answer held until whole."""
+"""Performs attempts: connects to the selected endpoint, sends the request and buffers the response."""
 
 import dykeswitch.adapter as adapters
 import dykeswitch.layout as layouts
@@ -10,7 +10,7 @@
 import dykeswitch.proxy.patience as patience
 import dykeswitch.proxy.pool as pools
 import dykeswitch.proxy.selection as selection
-import dykeswitch.proxy.senses as senses_port
+import dykeswitch.proxy.senses as senses
 import dykeswitch.settings as settings
 import dykeswitch.soundness as soundness
 import dykeswitch.soundness.connection as connections
@@ -18,7 +18,7 @@
 
 
 class Delivery:
-    """Makes attempts, each on a connection of its own while it lasts."""
+    """Performs attempts, each with exclusive use of one connection."""
 
     def __init__(
         self,
@@ -26,129 +26,142 @@
         machine: ports.Machine,
         timeline: timelines.Timeline,
         selector: selection.Selector,
-        senses: senses_port.Senses,
+        fleet_status: senses.FleetStatus,
         adapter: adapters.Adapter,
     ) -> None:
         self._config = config
         self._clock = machine.clock
         self._selector = selector
-        self._senses = senses
+        self._fleet_status = fleet_status
         self._adapter = adapter
         self._header_names = adapter.header_names
         self._pool = pools.ConnectionPool(config, machine, timeline, adapter.header_names)
         self._budgets: dict[str, budgets.Budget] = {}
         self.layout: layouts.Layout | None = None
-        # Whether this proxy stops: attempts go on to their end, and no connection is kept.
+        # Whether this proxy is shutting down: attempts are completed, but connections are not kept.
         self.closing = False
 
     def budget(self, service: str) -> budgets.Budget:
-        """The budget of extra attempts toward a service."""
+        """Return the budget for extra attempts at a service."""
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = budgets.Budget(self._config, self._senses.borrowing_since)
+            budget = self._budgets[service] = budgets.Budget(self._config, self._fleet_status.borrowing_since)
         return budget
 
     @property
     def budgets(self) -> dict[str, budgets.Budget]:
-        """The budgets of all services to which something was carried."""
+        """The budgets of all services that received requests, by service."""
         return self._budgets
 
     # Connections.
 
     async def connect(self, exchange: exchanges.Exchange, entry: timelines.Entry) -> None:
-        """Take a proven connection to an endpoint; raises `EndpointConnectionError`, with nothing sent."""
+        """Get a verified connection to an endpoint.
+
+        Raises:
+            connections.EndpointConnectionError: No connection was available; nothing was sent.
+        """
         assert self.layout is not None
         probe = self.layout.services[exchange.service].probe
-        exchange.ahead = self._selector.ahead(entry)
+        exchange.requests_ahead = self._selector.ahead(entry)
         self._selector.begun(entry.key)
         try:
-            exchange.take(await self._pool.connect(entry, exchange.service, probe, exchange.expiry))
+            exchange.use_connection(
+                await self._pool.connect(entry, exchange.service, probe, exchange.deadline)
+            )
         except BaseException:
             self._selector.ended(entry.key)
             raise
 
-    def put_away(self, exchange: exchanges.Exchange, sound: bool) -> None:
-        """Give a connection back for the next exchange, or close it."""
+    def release_connection(self, exchange: exchanges.Exchange, reusable: bool) -> None:
+        """Return a connection to the pool if it is reusable, otherwise close it."""
         connection, exchange.connection = exchange.connection, None
         if connection is not None:
             self._selector.ended(connection.endpoint)
-            self._pool.put_back(connection, sound and not self.closing)
+            self._pool.put_back(connection, reusable and not self.closing)
 
-    def reset_at_rest(self, exchange: exchanges.Exchange, rested_s: float) -> None:
-        """Learn from a connection that was reset when it was used again after a rest."""
-        self._pool.rests.reset(exchange.service, rested_s, self._clock.now())
+    def record_idle_reset(self, exchange: exchanges.Exchange, idle_s: float) -> None:
+        """Record that a connection was reset when it was used again after being idle."""
+        self._pool.rests.record_reset(exchange.service, idle_s, self._clock.now())
 
     def idle(self) -> int:
-        """How many usable connections lie idle."""
+        """Return the number of idle connections that can be reused."""
         return self._pool.idle()
 
     def close(self) -> None:
-        """Close every idle connection."""
+        """Close all idle connections."""
         self._pool.close()
 
     # Attempts.
 
     async def deliver(self, exchange: exchanges.Exchange) -> None:
-        """Send the request and take in the answer, as far as it is held; the exchange tells how it went."""
+        """Send the request and buffer the response; the result is stored in the exchange."""
         assert exchange.connection is not None and exchange.endpoint is not None
         entry, connection = exchange.endpoint, exchange.connection
-        exchange.flaw, exchange.head_came, exchange.sent = "", False, False
-        answer: exchanges.Answer | None = None
-        begun = self._clock.now()
+        exchange.error, exchange.response_head_received, exchange.sent = "", False, False
+        response: exchanges.Response | None = None
+        started_at = self._clock.now()
         try:
-            async with self._patience(exchange):
+            async with self._attempt_timeout(exchange):
                 head = await connection.send(
                     exchange.method,
                     exchange.target,
-                    headers.request_headers(exchange, self._adapter, self._header_names, begun),
+                    headers.request_headers(exchange, self._adapter, self._header_names, started_at),
                     exchange.body,
-                    lambda: self._may_still_go(exchange, entry, begun),
+                    lambda: self._may_still_send(exchange, entry, started_at),
                 )
-                exchange.head_came = True
-                answer = await self._hold(exchange.method, connection, head)
+                exchange.response_head_received = True
+                response = await self._buffer_response(exchange.method, connection, head)
         except TimeoutError:
-            exchange.flaw = soundness.TIMED_OUT
-            waited = self._clock.now() - begun
-            # A caller in a hurry says nothing about the endpoint.
-            if waited < min(self._config.probe_timeout_s, exchange.request_s):
-                exchange.flaw = "expired"
-        except connections.EndpointConnectionError as flaw:
-            exchange.flaw = flaw.reason
+            exchange.error = soundness.TIMED_OUT
+            waited = self._clock.now() - started_at
+            # The client's timeout was too short to say anything about the endpoint.
+            if waited < min(self._config.probe_timeout_s, exchange.attempt_timeout_s):
+                exchange.error = "expired"
+        except connections.EndpointConnectionError as error:
+            exchange.error = error.reason
         finally:
-            # Also when we are cut short: whether it may have run must be known.
-            exchange.took = self._clock.now() - begun
-            exchange.sent = exchange.under_way()
+            # Also when cancelled: whether the request may have run must be known.
+            exchange.attempt_duration_s = self._clock.now() - started_at
+            exchange.sent = exchange.is_in_flight()
             if exchange.sent:
-                # One that was never sent takes nothing away from what came before it.
-                exchange.answer = answer
+                # An attempt that sent nothing leaves the result of the previous attempt in place.
+                exchange.response = response
                 exchange.attempts += 1
 
-    def _may_still_go(self, exchange: exchanges.Exchange, entry: timelines.Entry, begun: float) -> bool:
-        """The last look before the first byte: frozen, expired, or gone since?"""
+    def _may_still_send(
+        self, exchange: exchanges.Exchange, entry: timelines.Entry, started_at: float
+    ) -> bool:
+        """Check right before the first byte that nothing has ruled the attempt out in the meantime.
+
+        The process may have been frozen, the deadline may have passed, or the endpoint or rule may be gone.
+        """
         return (
-            not self._senses.clock_jumped()
-            and self._clock.now() - begun < self._config.clock_gap_s
-            and self._clock.now() < exchange.expiry
-            and not self._senses.silence_s() > self._config.drain_s
+            not self._fleet_status.clock_jumped()
+            and self._clock.now() - started_at < self._config.clock_gap_s
+            and self._clock.now() < exchange.deadline
+            and not self._fleet_status.silence_s() > self._config.drain_s
             and self._selector.usable(entry)
-            and matching.is_still_ruled(exchange, self.layout, self._config)
+            and matching.rule_still_applies(exchange, self.layout, self._config)
         )
 
-    def _patience(self, exchange: exchanges.Exchange) -> patience.Patience:
-        """How long this attempt may take."""
-        left = exchange.expiry - self._clock.now()
-        limit = min(exchange.request_s, left)
+    def _attempt_timeout(self, exchange: exchanges.Exchange) -> patience.Patience:
+        """Return the timeout of this attempt."""
+        left_s = exchange.deadline - self._clock.now()
+        limit_s = min(exchange.attempt_timeout_s, left_s)
         if exchange.writing:
-            return patience.Patience(limit, limit, lambda: False)
-        # An attempt that hangs must leave time for the tries that remain.
-        first = min(limit, left / max(1, exchange.max_tries - exchange.attempts))
-        return patience.Patience(first, limit, lambda: self.may_try_another(exchange, exchange.attempts + 1))
+            return patience.Patience(limit_s, limit_s, lambda: False)
+        # An attempt that hangs must leave time for the remaining attempts.
+        first_s = min(limit_s, left_s / max(1, exchange.max_tries - exchange.attempts))
+        return patience.Patience(
+            first_s, limit_s, lambda: self.may_try_another(exchange, exchange.attempts + 1)
+        )
 
     def may_try_another(self, exchange: exchanges.Exchange, attempts: int) -> bool:
-        """Whether another attempt could be made now after so many, the one at hand among them.
+        """Return whether another attempt could be made now, given the attempts so far including this one.
 
-        Where none could, to break that one off would only end the exchange sooner: its endpoint
-        may still be at work. A proxy that stops breaks nothing off.
+        If none could, aborting the current attempt would only end the exchange sooner, although the endpoint
+        may still be working on it. While shutting down, no attempt is aborted.
         """
         return not self.closing and any(
             self.budget(service).affords(self._clock.now())
@@ -156,16 +169,16 @@
             for service in matching.next_services(exchange, attempts, self.layout, self._config)
         )
 
-    async def _hold(
+    async def _buffer_response(
         self, method: str, connection: connections.EndpointConnection, head: connections.ResponseHead
-    ) -> exchanges.Answer:
-        """Hold the reply's body up to the bound, so that a cut one is never passed on."""
+    ) -> exchanges.Response:
+        """Buffer the body up to `reply_buffer` bytes, so that a truncated one is not passed on."""
         if not headers.is_framed(method, head):
             raise connections.EndpointConnectionError(soundness.UNFRAMED, True)
         rest = connection.parts()
-        held = bytearray()
+        buffered = bytearray()
         async for part in rest:
-            held += part
-            if len(held) > self._config.reply_buffer:
-                return exchanges.Answer(head, bytes(held), rest)
-        return exchanges.Answer(head, bytes(held), None)
+            buffered += part
+            if len(buffered) > self._config.reply_buffer:
+                return exchanges.Response(head, bytes(buffered), rest)
+        return exchanges.Response(head, bytes(buffered), None)
--- a/packages/proxy/src/dykeswitch/proxy/exchange.py
+++ b/packages/proxy/src/dykeswitch/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""The exchange: a record in a table that passes are run over."""
+"""The record of one request while it is processed."""
 
 import asyncio
 import dataclasses
@@ -11,14 +11,14 @@
 import dykeswitch.soundness.connection as connections
 import dykeswitch.timeline as timelines
 
-TRAIL_MOST: typing.Final = 32
-TEXT_MOST: typing.Final = 200
-# When, after the exchange's begin; what was done; why.
+MAX_TRAIL_STEPS: typing.Final = 32
+MAX_STEP_TEXT: typing.Final = 200
+# Seconds since the start of the exchange; what was done; why.
 Step = tuple[float, str, str]
 
 
 class Stage(enum.Enum):
-    """The pass that an exchange waits for."""
+    """The next stage of an exchange."""
 
     MATCH = "match"
     SELECT = "select"
@@ -30,22 +30,22 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Answer:
-    """An endpoint's answer that may go to the caller: whole, or begun and still coming.
+class Response:
+    """An endpoint's response that may be passed on to the client, complete or still being received.
 
-    An attempt that fails leaves none, however far its answer had come.
+    A failed attempt leaves none, however much of its response had arrived.
     """
 
     head: connections.ResponseHead
-    # The body, or as much of it as is held before it is passed on.
-    held: bytes
-    # What comes after that; nothing where the body is held whole.
+    # The whole body, or the part buffered before the response is passed on.
+    buffered: bytes
+    # The rest of the body; None if it is buffered completely.
     rest: typing.AsyncIterator[bytes] | None
 
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """All that is known of one request on its way."""
+    """The state of one request."""
 
     name: str
     method: str
@@ -57,67 +57,67 @@
     started_at: float
     requested_timeout_s: float | None
     send: ports.Send
-    # How many bytes of its body count among those held.
-    held: int = 0
+    # How many bytes of the request body are counted against the limit for all bodies.
+    buffered_bytes: int = 0
     stage: Stage = Stage.MATCH
-    # Runs out only if an orderly stop has no more time for us.
+    # Expires only when the grace period of an orderly stop ends.
     timer: asyncio.Timeout = dataclasses.field(default_factory=lambda: asyncio.Timeout(None))
-    # The layout under which it was matched last.
+    # The layout by which the request was last matched.
     layout: layouts.Layout | None = None
     rule: layouts.Rule | None = None
     service: str = ""
     writing: bool = True
-    expiry: float = 0.0
-    request_s: float = 0.0
+    deadline: float = 0.0
+    attempt_timeout_s: float = 0.0
     max_tries: int = 1
-    # How many go's have sent something, and how many pipes failed before that.
+    # Attempts that sent something, and connections that failed before anything was sent.
     attempts: int = 0
     connect_failures: int = 0
     tried_endpoints: set[str] = dataclasses.field(default_factory=set)
     endpoint: timelines.Entry | None = None
     connection: connections.EndpointConnection | None = None
-    # What the last go brought: an answer, or what went wrong and whether an answer's head had come.
-    answer: Answer | None = None
-    flaw: str = ""
-    head_came: bool = False
-    # How many requests were thought to be ahead of this go, and how long it took (seconds).
-    ahead: float = 0.0
-    took: float = 0.0
+    # Result of the last attempt: a response, or an error and whether a response head had been received.
+    response: Response | None = None
+    error: str = ""
+    response_head_received: bool = False
+    # Estimated number of requests ahead of this attempt, and the attempt's duration.
+    requests_ahead: float = 0.0
+    attempt_duration_s: float = 0.0
     sent: bool = False
-    # Whether any go may have run, or run still, with its end unknown to us.
-    unknown: str = ""
-    # Whether an endpoint answered without the promise that it had not run.
-    answered: bool = False
+    # Set if an attempt may have run, or may still be running, with an unknown outcome: the reason.
+    unknown_reason: str = ""
+    # Whether an endpoint answered without promising that the request did not run.
+    answered_without_promise: bool = False
     failure: outcome.Failure | None = None
     retry_after: float | None = None
     status: int = 0
-    # What was done, each with its moment: told to an operator who asks.
+    # The steps taken so far, for operators' queries.
     trail: list[Step] = dataclasses.field(default_factory=list)
-    # Whether the reply's head is on its way to the caller.
-    replied: bool = False
-    # When its caller left, by our clock, if that came before the answer's end.
-    left_at: float | None = None
-    # How many bytes its connection had carried before this attempt.
+    # Whether the response head has been sent to the client.
+    response_started: bool = False
+    # When the client disconnected, by the local clock, if that was before the end of the response.
+    client_left_at: float | None = None
+    # How many bytes had been written to the connection before this attempt.
     written_before: int = 0
 
-    def take(self, connection: connections.EndpointConnection) -> None:
-        """Take a connection for one attempt."""
+    def use_connection(self, connection: connections.EndpointConnection) -> None:
+        """Use a connection for one attempt."""
         self.connection = connection
         self.written_before = connection.wrote()
 
     def may_have_run(self) -> bool:
-        """Whether an attempt has run, or may have: then only what may be repeated is sent again."""
-        return self.answered or bool(self.unknown)
+        """Return whether an attempt ran or may have run, so that only repeatable requests are sent again."""
+        return self.answered_without_promise or bool(self.unknown_reason)
 
-    def under_way(self) -> bool:
-        """Whether an attempt has been sent, in part at least, and has its connection still."""
+    def is_in_flight(self) -> bool:
+        """Return whether an attempt was sent, at least in part, and still has its connection."""
         return self.connection is not None and self.connection.wrote_since(self.written_before)
 
-    def note(self, now: float, what: str, why: str = "") -> None:
-        """One step on the trail, while there is room."""
-        if len(self.trail) < TRAIL_MOST:
+    def add_step(self, now: float, what: str, why: str = "") -> None:
+        """Append a step to the trail, up to `MAX_TRAIL_STEPS`."""
+        if len(self.trail) < MAX_TRAIL_STEPS:
             self.trail.append((now - self.started_at, what, why))
 
 
-# Takes down one step of an exchange: what was done, and why.
-Note = typing.Callable[[Exchange, str, str], None]
+# Records one step of an exchange: what was done, and why.
+AddStep = typing.Callable[[Exchange, str, str], None]
--- a/packages/proxy/src/dykeswitch/proxy/headers.py
+++ b/packages/proxy/src/dykeswitch/proxy/headers.py
@@ -1,4 +1,4 @@
-"""Header fields of requests to endpoints and of replies to callers."""
+"""Builds the header fields of requests to endpoints and of responses to clients."""
 
 import typing
 
@@ -8,8 +8,8 @@
 import dykeswitch.soundness as soundness
 import dykeswitch.soundness.connection as connections
 
-# Fields of one hop, which the HTTP standard forbids to pass on.
-HOP: typing.Final = frozenset(
+# Hop-by-hop fields, which the HTTP standard forbids proxies to forward.
+HOP_BY_HOP: typing.Final = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -26,29 +26,29 @@
 
 
 def kept_headers(headers: connections.Headers) -> connections.Headers:
-    """Header fields that go on to the next hop."""
-    named = {
+    """Return the end-to-end header fields, which are forwarded."""
+    connection_options = {
         part.strip().lower()
-        for key, text in headers
+        for key, value in headers
         if key.lower() == b"connection"
-        for part in text.split(b",")
+        for part in value.split(b",")
     }
-    return [(k, v) for k, v in headers if k.lower() not in HOP and k.lower() not in named]
+    return [(k, v) for k, v in headers if k.lower() not in HOP_BY_HOP and k.lower() not in connection_options]
 
 
 def request_headers(
     exchange: exchanges.Exchange, adapter: adapters.Adapter, names: adapters.HeaderNames, now: float
 ) -> connections.Headers:
-    """The fields of a request as it goes to the selected endpoint."""
-    left = max(1, int((exchange.expiry - now) * 1000))
-    ours = {names.expiry, names.expected, b"content-length"}
+    """Return the header fields of a request to the selected endpoint."""
+    remaining_ms = max(1, int((exchange.deadline - now) * 1000))
+    own_names = {names.expiry, names.expected, b"content-length"}
     if not adapter.named_by_caller:
-        ours.add(names.exchange)
-    headers = [(k, v) for k, v in kept_headers(exchange.headers) if k not in ours]
-    # One that came in chunks goes on with a length: it is whole by now.
+        own_names.add(names.exchange)
+    headers = [(k, v) for k, v in kept_headers(exchange.headers) if k not in own_names]
+    # A chunked request is forwarded with a length, because its body is complete by now.
     if exchange.body or any(k in (b"content-length", b"transfer-encoding") for k, _ in exchange.headers):
         headers.append((b"content-length", str(len(exchange.body)).encode()))
-    headers.append((names.expiry, str(left).encode()))
+    headers.append((names.expiry, str(remaining_ms).encode()))
     if exchange.endpoint is not None:
         headers.append((names.expected, exchange.endpoint.key.encode()))
     if not adapter.named_by_caller:
@@ -59,24 +59,24 @@
 
 def response_headers(
     exchange: exchanges.Exchange,
-    answer: exchanges.Answer,
+    response: exchanges.Response,
     adapter: adapters.Adapter,
     names: adapters.HeaderNames,
-    come_back_s: typing.Callable[[], float],
+    retry_after_s: typing.Callable[[], float],
 ) -> connections.Headers:
-    """The fields of an endpoint's reply as it goes to the caller."""
-    headers = [(k.lower(), v) for k, v in kept_headers(answer.head.headers)]
-    if exchange.status >= 400 and (exchange.writing or exchange.unknown):
-        # An endpoint's own "come back" without a promise: it may have run the
-        # request, and a caller who obeys would run it twice.
+    """Return the header fields of an endpoint's response to the client."""
+    headers = [(k.lower(), v) for k, v in kept_headers(response.head.headers)]
+    if exchange.status >= 400 and (exchange.writing or exchange.unknown_reason):
+        # Remove the endpoint's Retry-After: without a promise the request may have run, and a client
+        # that obeys would run it twice.
         headers = [(k, v) for k, v in headers if k != b"retry-after"]
     elif exchange.status in soundness.FREE and not any(k == b"retry-after" for k, _ in headers):
-        # Given up on, and nothing of it runs any more: say when to come back.
-        headers.append((b"retry-after", adapter.retry_after(come_back_s())))
-    bodiless = exchange.method == "HEAD" or exchange.status in (204, 304) or exchange.status < 200
-    if answer.rest is None and not bodiless:
+        # No further attempt is made and nothing is running any more, so the client may retry.
+        headers.append((b"retry-after", adapter.retry_after(retry_after_s())))
+    has_no_body = exchange.method == "HEAD" or exchange.status in (204, 304) or exchange.status < 200
+    if response.rest is None and not has_no_body:
         headers = [(k, v) for k, v in headers if k != b"content-length"]
-        headers.append((b"content-length", str(len(answer.held)).encode()))
+        headers.append((b"content-length", str(len(response.buffered)).encode()))
     if not adapter.named_by_caller:
         headers = [(k, v) for k, v in headers if k != names.exchange]
         headers.append(VIA)
@@ -91,7 +91,7 @@
     adapter: adapters.Adapter,
     names: adapters.HeaderNames,
 ) -> connections.Headers:
-    """The fields of an answer of our own."""
+    """Return the header fields of a response generated by the proxy."""
     headers = [
         (b"content-type", b"application/json"),
         (b"content-length", str(size).encode()),
@@ -104,7 +104,10 @@
 
 
 def is_framed(method: str, head: connections.ResponseHead) -> bool:
-    """Whether the reply says where it ends; one that ends with its pipe can't be told from a cut one."""
+    """Return whether a response states its length.
+
+    The end of a response that is delimited only by closing the connection can't be told from a truncation.
+    """
     if method == "HEAD" or head.status in (204, 304):
         return True
     if head.get(b"content-length") is not None:
--- a/packages/proxy/src/dykeswitch/proxy/intake.py
+++ b/packages/proxy/src/dykeswitch/proxy/intake.py
@@ -1,4 +1,4 @@
-"""What comes in from callers: each request is read and checked, and becomes an exchange."""
+"""Reads and validates clients' requests and creates an exchange for each."""
 
 import asyncio
 import random
@@ -12,15 +12,15 @@
 import dykeswitch.proxy.presence as presence
 import dykeswitch.settings as settings
 
-NO_BOUNDS: typing.Final = layouts.Bounds()
-# How soon a caller may come again that found too much at once, in seconds.
+EMPTY_BOUNDS: typing.Final = layouts.Bounds()
+# Retry-After for clients that are refused because of overload, in seconds.
 BUSY_RETRY_S: typing.Final = 1.0
-# Digits of a caller's expiry in milliseconds: more is no number that anyone means.
-EXPIRY_DIGITS: typing.Final = 9
+# Longer values of a client's timeout in milliseconds are taken as malformed.
+MAX_EXPIRY_DIGITS: typing.Final = 9
 
 
 class Intake:
-    """Reads requests within the bounds of the layout and of the settings."""
+    """Reads requests within the limits of the layout and the settings."""
 
     def __init__(
         self,
@@ -34,22 +34,22 @@
         self._clock = clock
         self._adapter = adapter
         self._layout = layout
-        # Names of exchanges are never used again, not even after a restart.
-        self._names = f"{rng.getrandbits(32):08x}"
-        self._turn = 0
-        # Bytes of all bodies that are held now.
-        self._held = 0
+        # Random prefix that keeps exchange names unique across restarts.
+        self._name_prefix = f"{rng.getrandbits(32):08x}"
+        self._sequence = 0
+        # Total size of all request bodies in memory, in bytes.
+        self._buffered_bytes = 0
 
-    def exchange(self, scope: ports.Scope, send: ports.Send) -> exchanges.Exchange:
-        """A new exchange for a request whose head is here."""
-        self._turn += 1
+    def new_exchange(self, scope: ports.Scope, send: ports.Send) -> exchanges.Exchange:
+        """Create an exchange for a request whose head has been received."""
+        self._sequence += 1
         headers: list[tuple[bytes, bytes]] = list(scope["headers"])
-        raw: bytes = scope.get("raw_path") or scope["path"].encode()
+        raw_path: bytes = scope.get("raw_path") or scope["path"].encode()
         query: bytes = scope.get("query_string") or b""
-        path = raw.partition(b"?")[0]
+        path = raw_path.partition(b"?")[0]
         host = next((v for k, v in headers if k == b"host"), b"").decode("latin-1")
         return exchanges.Exchange(
-            name=f"{self._config.name}-{self._names}-{self._turn}",
+            name=f"{self._config.name}-{self._name_prefix}-{self._sequence}",
             method=str(scope["method"]),
             host=host,
             path=path.decode("latin-1"),
@@ -62,72 +62,78 @@
         )
 
     async def read(self, exchange: exchanges.Exchange, receive: ports.Receive) -> outcome.Failure | None:
-        """Check the head and read the body; what is wrong with the request, if anything is.
+        """Check the request head and read the body; return a failure if the request is invalid.
 
-        Raises `CallerLeftError` where its caller does not stay until the body's end.
+        Raises:
+            presence.ClientLeftError: The client disconnected before the end of the body.
         """
-        if sum(len(k) + len(v) for k, v in exchange.headers) > self._head_most():
+        if sum(len(k) + len(v) for k, v in exchange.headers) > self._max_head_bytes():
             return outcome.failure("head_too_big")
-        text = adapters.find(exchange.headers, self._adapter.header_names.expiry)
-        if text is not None:
-            if not text.isdigit() or len(text) > EXPIRY_DIGITS:
-                return outcome.failure("bad_expiry", text[:40].decode("latin-1"))
-            exchange.requested_timeout_s = int(text) / 1000
-        # Until a rule is found: a longer wait than the caller's helps nobody.
-        span = (
+        expiry_text = adapters.find(exchange.headers, self._adapter.header_names.expiry)
+        if expiry_text is not None:
+            if not expiry_text.isdigit() or len(expiry_text) > MAX_EXPIRY_DIGITS:
+                return outcome.failure("bad_expiry", expiry_text[:40].decode("latin-1"))
+            exchange.requested_timeout_s = int(expiry_text) / 1000
+        # Used until a rule is found: to wait longer than the client does is pointless.
+        timeout_s = (
             self._config.request_s
             if exchange.requested_timeout_s is None
             else min(self._config.request_s, exchange.requested_timeout_s)
         )
-        exchange.expiry = exchange.started_at + span
+        exchange.deadline = exchange.started_at + timeout_s
         try:
-            async with asyncio.timeout(span):
-                return await self._body(exchange, receive)
+            async with asyncio.timeout(timeout_s):
+                return await self._read_body(exchange, receive)
         except TimeoutError:
-            return outcome.failure("expired", "the request's body did not come in time")
+            return outcome.failure("expired", "request body was not received before the deadline")
 
     def connection_limits(self) -> ports.ConnectionLimits:
-        """How long callers may take over a head, and rest, by the layout of this moment."""
-        said, usual = self._limits(), ports.DEFAULT_LIMITS
+        """Return the current limits for clients' connections, from the layout or the defaults."""
+        configured, defaults = self._limits(), ports.DEFAULT_LIMITS
         return ports.ConnectionLimits(
-            head_most=self._head_most(),
-            head_s=said.head_s or usual.head_s,
-            idle_s=said.idle_s or usual.idle_s,
+            head_most=self._max_head_bytes(),
+            head_s=configured.head_s or defaults.head_s,
+            idle_s=configured.idle_s or defaults.idle_s,
         )
 
-    def _head_most(self) -> int:
+    def _max_head_bytes(self) -> int:
         return self._limits().head_most or self._config.head_most
 
     def _limits(self) -> layouts.Bounds:
-        """What the operator lets callers send; the settings hold where the layout says nothing."""
+        """Return the layout's limits for requests; those it doesn't set are taken from the settings."""
         layout = self._layout()
-        return layout.bounds if layout is not None else NO_BOUNDS
+        return layout.bounds if layout is not None else EMPTY_BOUNDS
 
-    def _hold(self, exchange: exchanges.Exchange, size: int) -> None:
-        exchange.held += size
-        self._held += size
+    def _add_buffered(self, exchange: exchanges.Exchange, size: int) -> None:
+        exchange.buffered_bytes += size
+        self._buffered_bytes += size
 
     def release(self, exchange: exchanges.Exchange) -> None:
-        """An exchange is over: its body is held no more."""
-        self._held -= exchange.held
-        exchange.held = 0
+        """Stop counting the body of a finished exchange."""
+        self._buffered_bytes -= exchange.buffered_bytes
+        exchange.buffered_bytes = 0
 
-    async def _body(self, exchange: exchanges.Exchange, receive: ports.Receive) -> outcome.Failure | None:
+    async def _read_body(
+        self, exchange: exchanges.Exchange, receive: ports.Receive
+    ) -> outcome.Failure | None:
         body = bytearray()
-        most = self._limits().body_most or self._config.body_most
+        max_bytes = self._limits().body_most or self._config.body_most
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                raise presence.CallerLeftError
+                raise presence.ClientLeftError
             part = message.get("body", b"")
             body += part
-            self._hold(exchange, len(part))
-            if len(body) > most:
-                return outcome.failure("body_too_big", f"over {most} bytes")
-            # One alone may be as large as the layout says; all together have to fit in the memory.
-            if self._held > self._config.bodies_most and self._held > exchange.held:
+            self._add_buffered(exchange, len(part))
+            if len(body) > max_bytes:
+                return outcome.failure("body_too_big", f"request body is over {max_bytes} bytes")
+            # One body may be as large as the layout allows, but all bodies together have to fit in memory.
+            if (
+                self._buffered_bytes > self._config.bodies_most
+                and self._buffered_bytes > exchange.buffered_bytes
+            ):
                 exchange.retry_after = BUSY_RETRY_S
-                return outcome.failure("too_busy", "too many bytes of bodies at once")
+                return outcome.failure("too_busy", "too many bytes of request bodies in memory")
             if not message.get("more_body"):
                 break
         exchange.body = bytes(body)
--- a/packages/proxy/src/dykeswitch/proxy/marking.py
+++ b/packages/proxy/src/dykeswitch/proxy/marking.py
@@ -1,4 +1,4 @@
-"""Passive marks: what failed attempts say of their endpoints."""
+"""Passive health checks: marks endpoints whose attempts fail."""
 
 import dykeswitch.logs as logs
 import dykeswitch.ports as ports
@@ -10,7 +10,7 @@
 
 
 class Marker:
-    """Marks endpoints that fail too often."""
+    """Marks endpoints as unhealthy when they fail too often."""
 
     def __init__(
         self,
@@ -29,13 +29,13 @@
         self._log = log
         self._strikes = soundness.Strikes(config.mark_s)
 
-    def sound(self, endpoint: str) -> None:
-        """Note that an endpoint answered as it should."""
+    def record_success(self, endpoint: str) -> None:
+        """Record a successful response of an endpoint."""
         self._strikes.sound(endpoint, self._clock.now())
 
-    def failed(self, endpoint: str, fault: soundness.Fault, promised: bool = False) -> None:
-        """Note a failure: the endpoint is avoided, and marked once it fails too often."""
-        # One that refused by its word is full, which selection knows already.
+    def record_failure(self, endpoint: str, fault: soundness.Fault, promised: bool = False) -> None:
+        """Record a failure: selection avoids the endpoint, which is marked once it fails too often."""
+        # An endpoint that refuses with a promise is full, which selection has recorded already.
         if not promised:
             self._selector.failed(endpoint)
         if self._strikes.strike(endpoint, fault, self._clock.now()):
--- a/packages/proxy/src/dykeswitch/proxy/pool.py
+++ b/packages/proxy/src/dykeswitch/proxy/pool.py
@@ -31,7 +31,7 @@
         self._timeline = timeline
         self._header_names = names
         # For how long connections may rest, by what resets taught.
-        self.rests = resting.RestLimits(config.mark_s)
+        self.rests = resting.IdleLimits(config.mark_s)
         self._idle: dict[str, list[connections.EndpointConnection]] = {}
         timeline.on_change(self._on_entry)
 
@@ -92,7 +92,7 @@
         """Whether the endpoint may be about to close an idle connection, or have forgotten it."""
         rested_s = now - connection.used
         told = connection.idle_s is not None and rested_s > connection.idle_s / 2
-        return told or rested_s > self.rests.longest(service, now)
+        return told or rested_s > self.rests.max_idle_s(service, now)
 
     async def _still_proven(
         self, connection: connections.EndpointConnection, probe: str, left: float
--- a/packages/proxy/src/dykeswitch/proxy/presence.py
+++ b/packages/proxy/src/dykeswitch/proxy/presence.py
@@ -1,4 +1,4 @@
-"""The presence of a caller: work for it ends once nobody waits for the answer any more."""
+"""Cancels the work for a request when its client disconnects."""
 
 import asyncio
 import types
@@ -7,59 +7,59 @@
 import dykeswitch.ports.departure as departures
 
 
-class CallerLeftError(Exception):
-    """Nobody waits for this request's answer: there is nothing left to do for it."""
+class ClientLeftError(Exception):
+    """The client disconnected, so nothing is left to do for its request."""
 
 
-class Presence:
-    """Runs a block for as long as its caller is there; ends it by `CallerLeftError`.
+class CancelOnDeparture:
+    """Context manager that cancels its block when the client disconnects and raises `ClientLeftError`.
 
-    The block is not broken off where `may_end` says so at the moment of the departure, as for
-    an order that has been sent: such a block is to look at the departure by itself.
+    The block is not cancelled if `may_cancel` returns False at that moment, as for a writing request
+    that has been sent: such a block has to check for the disconnection itself.
     """
 
     def __init__(
         self,
         departure: departures.Departure,
-        may_end: typing.Callable[[], bool],
-        noted: typing.Callable[[], None],
+        may_cancel: typing.Callable[[], bool],
+        on_left: typing.Callable[[], None],
     ) -> None:
         self._departure = departure
-        self._may_end = may_end
-        self._noted = noted
+        self._may_cancel = may_cancel
+        self._on_left = on_left
         self._task: asyncio.Task[typing.Any] | None = None
-        # How often the task had been asked to end before, and whether we asked.
-        self._cancelling = 0
-        self._ended = False
+        # Cancellation requests of the task before this block, and whether this block requested another.
+        self._cancel_requests_before = 0
+        self._cancelled_here = False
 
-    async def __aenter__(self) -> "Presence":
+    async def __aenter__(self) -> "CancelOnDeparture":
         if self._departure.has_left:
-            self._noted()
-            raise CallerLeftError
+            self._on_left()
+            raise ClientLeftError
         self._task = asyncio.current_task()
         assert self._task is not None
-        self._cancelling = self._task.cancelling()
+        self._cancel_requests_before = self._task.cancelling()
         self._departure.watch(self._on_departure)
         return self
 
     async def __aexit__(
         self,
-        kind: type[BaseException] | None,
-        flaw: BaseException | None,
-        trace: types.TracebackType | None,
+        error_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: types.TracebackType | None,
     ) -> None:
         self._departure.unwatch()
-        if not self._ended:
+        if not self._cancelled_here:
             return
         assert self._task is not None
-        # Who else asked the task to end gets what it asked for.
-        ours = self._task.uncancel() <= self._cancelling
-        if ours and kind is asyncio.CancelledError:
-            raise CallerLeftError from flaw
+        # A cancellation that somebody else requested stays in effect.
+        only_cancelled_here = self._task.uncancel() <= self._cancel_requests_before
+        if only_cancelled_here and error_type is asyncio.CancelledError:
+            raise ClientLeftError from error
 
     def _on_departure(self) -> None:
-        self._noted()
-        if self._may_end():
+        self._on_left()
+        if self._may_cancel():
             assert self._task is not None
-            self._ended = True
+            self._cancelled_here = True
             self._task.cancel()
--- a/packages/proxy/src/dykeswitch/proxy/program.py
+++ b/packages/proxy/src/dykeswitch/proxy/program.py
@@ -1,4 +1,4 @@
-"""The proxy's process: one web server inward, members on the other side."""
+"""The proxy process: serves clients over HTTP and takes part in the membership."""
 
 import asyncio
 import random
@@ -23,14 +23,14 @@
 import dykeswitch.settings as settings
 import dykeswitch.timeline as timelines
 
-# The part of the grace after which work still in hand is answered.
-LAST_CALL: typing.Final = 0.88
-# The part of the grace after which the server ends what is left, such as callers that do not read.
-SERVER_END: typing.Final = 0.94
+# Share of the grace period after which requests in progress get a final response.
+FINAL_ANSWER_SHARE: typing.Final = 0.88
+# Share of the grace period after which the server closes what is left, such as clients that don't read.
+SERVER_STOP_SHARE: typing.Final = 0.94
 
 
 class Proxy:
-    """One proxy."""
+    """A proxy."""
 
     def __init__(
         self,
@@ -51,12 +51,12 @@
         self.call_client = frames.CallClient(machine.net, self.meter)
         self.gossip = self._join(rng)
         self.documents = documents.Documents(
-            self.timeline, self.call_client, config.call_timeout_s, self._reads, config.name
+            self.timeline, self.call_client, config.call_timeout_s, self._read_document, config.name
         )
         self.carrier = carrier.Carrier(
             config, machine, self.timeline, self.marks, log, rng, self, self.adapter
         )
-        # The carrier has a budget for each service it carried; the borrower fills them.
+        # The carrier keeps a budget for each service it served; the borrower fills them.
         self.borrower = borrowers.Borrower(
             config.name,
             self.gossip.boot_id,
@@ -69,12 +69,12 @@
         self._pauses: list[pauses.Pause] = []
         self.carrier.selector.paused = self.paused
         self.intake = intakes.Intake(config, self.clock, rng, self.adapter, lambda: self.carrier.layout)
-        self._tick = self.clock.now()
-        self._doubt = True  # Until a core has confirmed what we hold, we are not sure of it.
+        self._last_tick_at = self.clock.now()
+        self._needs_confirmation = True  # Set until a core has confirmed the local state.
         self._confirming: asyncio.Task[bool] | None = None
         self._confirmed = False
-        self._cut_off = False
-        self._doubt_at = self._tick
+        self._isolated = False
+        self._unconfirmed_since = self._last_tick_at
         self._last_known_cores: dict[str, ports.Address] = {}
         self._stop_deadline: float | None = None
         self._server: ports.WebServer | None = None
@@ -84,7 +84,7 @@
         self._stop = asyncio.Event()
 
     def _join(self, rng: random.Random) -> membership.Gossip:
-        """This proxy's part in the membership, not yet running."""
+        """Create this proxy's membership, not yet running."""
         config = self.config
         return membership.Gossip(
             membership.Member(config.name, "proxy", ports.address_of(config.member)),
@@ -102,27 +102,27 @@
 
     # Documents.
 
-    async def _reads(self, name: str, version: int, data: bytes) -> documents.Apply | None:
-        """Read a document while exchanges go on; what is handed back takes it up at once."""
+    async def _read_document(self, name: str, version: int, data: bytes) -> documents.Apply | None:
+        """Parse a document without blocking exchanges; return a function that applies it at once."""
         if name == documents.PAUSES:
             try:
-                planned = pauses.read(data)
-            except pauses.PausesError as flaw:
-                self.log.error("pauses refused", version=version, why=str(flaw))
+                planned_pauses = pauses.read(data)
+            except pauses.PausesError as error:
+                self.log.error("pauses refused", version=version, why=str(error))
                 return None
 
-            def plan() -> None:
-                self._pauses = planned
-                self.log.info("pauses taken up", version=version, pauses=len(planned))
+            def apply_pauses() -> None:
+                self._pauses = planned_pauses
+                self.log.info("pauses taken up", version=version, pauses=len(planned_pauses))
 
-            return plan
+            return apply_pauses
         raw = self.adapter.layout(data)
         if isinstance(raw, outcome.Failure):
             self.log.error("layout refused", version=version, why=raw.detail)
             return None
         result = await layouts.check_cooperatively(raw.value)
         if isinstance(result, outcome.Failure):
-            # It was checked before it was accepted: keep the one we have.
+            # Registries check a layout before they accept it, so this is unexpected: keep the current one.
             self.log.error("layout refused", version=version, faults=result.faults[:5])
             return None
         layout = result.value
@@ -134,13 +134,13 @@
         return apply
 
     def paused(self, endpoint: str) -> str | None:
-        """The reason of a planned pause that is open now."""
+        """Return the reason of an endpoint's planned pause, if one is in effect now."""
         if not self._pauses:
             return None
         wall = self.gossip.wall()
         return next((p.reason for p in self._pauses if p.endpoint == endpoint and p.open(wall)), None)
 
-    def _say_self(self) -> None:
+    def _publish_status(self) -> None:
         fields = {
             "zone": self.config.zone,
             "web": self.config.web,
@@ -154,90 +154,89 @@
         )
 
     def borrowing_since(self) -> float | None:
-        """Since when registries lend us extra go's, if they do."""
+        """Return since when registries have lent this proxy extra attempts, if they do."""
         return self.borrower.since()
 
-    # Being sure after a freeze.
+    # Confirmation of the local state after a freeze.
 
     def silence_s(self) -> float:
-        """For how long no other node was heard."""
+        """Return the seconds since another node was last heard."""
         return self.clock.now() - self.gossip.last_heard_at
 
     def clock_jumped(self) -> bool:
-        """Whether our own clock shows a gap."""
-        return self.clock.now() - self._tick > self.config.clock_gap_s
+        """Return whether the local clock shows a gap, as after a freeze."""
+        return self.clock.now() - self._last_tick_at > self.config.clock_gap_s
 
-    async def confirm_fresh(self, by: float) -> bool:
-        """Whether what we hold is of today: at once, unless our clock shows a gap; then confirm.
+    async def confirm_fresh(self, deadline: float) -> bool:
+        """Return whether the local state is current, after confirming it if the local clock shows a gap.
 
-        It takes no longer than `drain_s`, nor than until the moment `by` of our clock.
+        Takes at most `drain_s`, and ends at the deadline (by the local clock) if that is earlier.
         """
         if self.clock_jumped():
-            self._doubt_now()
-        end = min(by, self.clock.now() + self.config.drain_s)
-        while self._doubt and self.clock.now() < end:
-            # Nobody is there to ask: the caller is told so at once.
-            if self._cut_off and self.silence_s() > self.config.drain_s:
+            self._require_confirmation()
+        end = min(deadline, self.clock.now() + self.config.drain_s)
+        while self._needs_confirmation and self.clock.now() < end:
+            # No node can be reached, so the client is refused at once.
+            if self._isolated and self.silence_s() > self.config.drain_s:
                 return False
             if self._confirming is None or self._confirming.done():
                 self._confirming = asyncio.create_task(self._confirm())
-            # The confirming goes on for others; who has no time left for it hears so at once.
+            # The confirmation continues for other requests; those without time for it get their answer now.
             await asyncio.wait([self._confirming], timeout=end - self.clock.now())
-            # One that never was confirmed has nothing yet to go by.
+            # A proxy that was never confirmed has no state to use.
             if not self._confirmed:
                 return False
-            if self._doubt:
+            if self._needs_confirmation:
                 await self.clock.sleep(min(self.config.tick_interval_s, max(0.0, end - self.clock.now())))
-        return not self._doubt
+        return not self._needs_confirmation
 
-    def _doubt_now(self) -> None:
-        if not self._doubt:
-            self._doubt_at = self.clock.now()
-        self._doubt = True
+    def _require_confirmation(self) -> None:
+        if not self._needs_confirmation:
+            self._unconfirmed_since = self.clock.now()
+        self._needs_confirmation = True
 
     async def _confirm(self) -> bool:
-        """Ask every core for what a majority holds now, and catch up with it."""
-        begun = self._tick = self.clock.now()
-        # A freeze may outlast what is known of the cores: who was one may be one still.
+        """Ask all cores for the state that a majority holds, and catch up with it."""
+        started_at = self._last_tick_at = self.clock.now()
+        # Entries of cores may expire during a freeze: nodes that were cores may still be cores.
         known = self.gossip.known_cores()
         self._last_known_cores = known or self._last_known_cores
         addresses = list(self._last_known_cores.values())
-        good = False
-        calls = [asyncio.create_task(self._confirm_at(address)) for address in addresses]
-        while calls and not good:
+        confirmed = False
+        calls = [asyncio.create_task(self._confirm_with(address)) for address in addresses]
+        while calls and not confirmed:
             done, _ = await asyncio.wait(calls, return_when=asyncio.FIRST_COMPLETED)
-            good = any(call.result() for call in done)
+            confirmed = any(call.result() for call in done)
             calls = [call for call in calls if call not in done]
-        if good:
-            # Knowing of a newer layout without holding it is no more than doubt.
-            good = await self.documents.catch_up(self._addresses())
-        # Frozen again meanwhile: what we heard is old already.
-        if good and self.clock.now() - begun > self.config.drain_s:
+        if confirmed:
+            # To know of a newer layout without having it does not confirm anything.
+            confirmed = await self.documents.catch_up(self._addresses())
+        # The process was frozen again in the meantime, so the replies are out of date.
+        if confirmed and self.clock.now() - started_at > self.config.drain_s:
             return False
-        if good:
-            # Also when a majority confirmed that there is no layout yet: whatever
-            # comes after it is newer.
-            self._doubt = False
+        if confirmed:
+            # This also applies if a majority confirmed that there is no layout yet: any later one is newer.
+            self._needs_confirmation = False
             self._confirmed = True
-        elif self._confirmed and self._in_company() and not self.documents.outdated():
-            # No core can be reached: go on with the last list, as asked for.
-            self._doubt = False
-        return good
+        elif self._confirmed and self._heard_another_node() and not self.documents.outdated():
+            # No core can be reached: continue with the last known list, as required.
+            self._needs_confirmation = False
+        return confirmed
 
-    def _in_company(self) -> bool:
-        """Whether somebody was heard since we began to doubt, and not by words that lay waiting."""
-        return self.gossip.last_heard_at > self._doubt_at + self.config.clock_gap_s / 2
+    def _heard_another_node(self) -> bool:
+        """Return whether a node was heard since the doubt began, other than by queued messages."""
+        return self.gossip.last_heard_at > self._unconfirmed_since + self.config.clock_gap_s / 2
 
-    async def _confirm_at(self, address: ports.Address) -> bool:
-        # All that we knew of it is here still: only what came since need travel.
+    async def _confirm_with(self, address: ports.Address) -> bool:
+        # This proxy still has everything received from this core before, so only newer entries are requested.
         position = self.gossip.position(address)
-        ask = {"name": self.config.name, "items": [], "cursor": position, "hold": 0.0}
-        result = await self.call_client.call(address, "confirm", ask, self.config.call_timeout_s)
+        request = {"name": self.config.name, "items": [], "cursor": position, "hold": 0.0}
+        result = await self.call_client.call(address, "confirm", request, self.config.call_timeout_s)
         if isinstance(result, outcome.Failure):
             return False
         items = result.value.get("items")
         if not isinstance(items, list):
-            # As good as silent: the others may confirm all the same.
+            # Treated like no reply: the other cores may still confirm.
             self.log.note("reply refused", f"{address}: confirm")
             return False
         self.timeline.merge(items)
@@ -248,31 +247,31 @@
         cores = self.gossip.nearest_cores()
         return cores + [m.address for m in self.gossip.view.values() if m.address not in cores]
 
-    # Soundness of the proxy itself.
+    # Health of the proxy itself.
 
     def ready(self) -> str | None:
-        """Why this proxy is not ready, or nothing."""
+        """Return why this proxy is not ready, or None if it is."""
         if self.stopping:
             return "stopping"
         if not self._confirmed or self.carrier.layout is None:
             return "no confirmed layout yet"
         if self.silence_s() > self.config.isolated_after_s:
             return "reaches no other node"
-        if self._doubt or self.clock_jumped():
-            return "not sure of the layout since a gap in its own clock"
+        if self._needs_confirmation or self.clock_jumped():
+            return "layout not confirmed since a gap in the local clock"
         return None
 
     def _app(self) -> ports.App:
-        """What is served to callers, with our own pages beside it where they share an address."""
+        """Return the application for clients, with the proxy's own pages if they share the address."""
         if self.config.ready:
             return self.gateway
-        # Brought in only here: a proxy with an address for readiness starts without it.
-        import dykeswitch.proxy.pages as own
+        # Imported only here, so that a proxy with a separate readiness address starts without it.
+        import dykeswitch.proxy.pages as proxy_pages
 
-        return own.app(self)
+        return proxy_pages.app(self)
 
     def counts(self) -> dict[str, float]:
-        """What this proxy counts, by name."""
+        """Return this proxy's counters by name."""
         return {
             **self.carrier.counts,
             **self.meter.counts,
@@ -281,15 +280,15 @@
             "coins_borrowed": self.borrower.borrowed(),
         }
 
-    # Callers.
+    # Client requests.
 
     async def gateway(self, scope: ports.Scope, receive: ports.Receive, send: ports.Send) -> None:
-        """Carry one request of a caller from its head to its reply."""
+        """Handle one client request from its head to the response."""
         if scope["type"] != "http":
             return
-        exchange = self.intake.exchange(scope, send)
-        # Overload is answered at once; a queue would only hide it. Requests whose body
-        # is still on its way count too, or slow senders would be without bound.
+        exchange = self.intake.new_exchange(scope, send)
+        # Overload is answered at once, since a queue would only hide it. Requests whose body is still being
+        # received count too; otherwise slow senders would be unlimited.
         if len(self.carrier.table) >= self.config.exchanges_most:
             exchange.retry_after = intakes.BUSY_RETRY_S
             await self.carrier.refuse(exchange, outcome.failure("too_busy"))
@@ -297,70 +296,70 @@
         self.carrier.table[exchange.name] = exchange
         try:
             async with exchange.timer:
-                self._hurry(exchange)
+                self._apply_stop_deadline(exchange)
                 failure = await self.intake.read(exchange, receive)
                 if failure is not None:
                     await self.carrier.refuse(exchange, failure)
                     return
-                async with presence.Presence(
+                async with presence.CancelOnDeparture(
                     departures.departure_of(scope),
-                    lambda: self.carrier.may_end(exchange),
-                    lambda: self.carrier.caller_left(exchange),
+                    lambda: self.carrier.may_cancel(exchange),
+                    lambda: self.carrier.client_left(exchange),
                 ):
-                    await self.carrier.carry(exchange)
-        except presence.CallerLeftError:
-            # Nobody is there to be answered.
-            if exchange.left_at is None:
+                    await self.carrier.process(exchange)
+        except presence.ClientLeftError:
+            # The client is gone, so there is nobody to respond to.
+            if exchange.client_left_at is None:
                 self.carrier.count("callers_left_amid_body")
         except TimeoutError:
             if not exchange.timer.expired():
                 raise
-            await self.carrier.cut_short(exchange)
+            await self.carrier.finish_at_stop(exchange)
         finally:
             self.intake.release(exchange)
             del self.carrier.table[exchange.name]
 
-    def _hurry(self, exchange: exchanges.Exchange) -> None:
-        """While stopping, an exchange has until the end of the grace."""
+    def _apply_stop_deadline(self, exchange: exchanges.Exchange) -> None:
+        """While stopping, limit an exchange to the remaining grace period."""
         if self._stop_deadline is not None:
-            left = max(0.0, self._stop_deadline - self.clock.now())
-            exchange.timer.reschedule(asyncio.get_running_loop().time() + left)
+            remaining_s = max(0.0, self._stop_deadline - self.clock.now())
+            exchange.timer.reschedule(asyncio.get_running_loop().time() + remaining_s)
 
     async def _on_exchange(self, body: frames.Body) -> frames.Result:
-        """What was done for one exchange."""
+        """Handle a call for the steps of one exchange."""
         trail = self.carrier.trail(str(body["exchange"]))
         if trail is None:
             return outcome.failure("no_such", f"no exchange {str(body['exchange'])[:80]} is remembered")
         return outcome.Success({"trail": [list(step) for step in trail]})
 
-    # Running and stopping.
+    # Startup and shutdown.
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until stopped."""
         kinds = {**self.gossip.kinds(), **self.documents.kinds(), "exchange": self._on_exchange}
         server = frames.CallServer(kinds, self.log.note, self.meter)
         self._listener = await self.machine.net.listen(self.config.listen or self.config.member, server.serve)
         try:
-            # With an address of its own for readiness, all that comes on `web` is for endpoints.
+            # With a separate readiness address, all requests on `web` are forwarded to endpoints.
             self._server = await self.machine.web.serve(
                 self.config.web, self._app(), self.intake.connection_limits
             )
             if self.config.ready:
-                asked = pages.app(
+                ready_app = pages.app(
                     self.adapter.ready_path, self.ready, None, ("proxy", self.config.name, self.counts)
                 )
-                self._ready_server = await self.machine.web.serve(self.config.ready, asked)
+                self._ready_server = await self.machine.web.serve(self.config.ready, ready_app)
             self.log.info("started", web=self.config.web, member=self.config.member)
             async with asyncio.TaskGroup() as group:
                 tasks = [
                     group.create_task(self.gossip.run()),
                     group.create_task(self._keep_ticking()),
                     group.create_task(self._keep_documents()),
-                    group.create_task(self._keep_saying()),
+                    group.create_task(self._keep_publishing()),
                     group.create_task(self.borrower.run()),
                 ]
                 await self._stop.wait()
-                await self._leave()
+                await self._drain()
                 await self.borrower.give_back()
                 for task in tasks:
                     task.cancel()
@@ -373,49 +372,49 @@
         self.log.info("stopped")
 
     def stop(self) -> None:
-        """Ask for an orderly stop."""
+        """Request an orderly stop."""
         self._stop.set()
 
     def reload_settings(self, config: settings.Settings) -> None:
-        """Take up changed settings, as far as a running program can: seeds; the rest at a start."""
+        """Apply changed seeds; all other settings take effect at the next start."""
         self.gossip.set_seeds(config.seeds)
         self.log.info("settings taken up", seeds=len(config.seeds))
 
-    async def _leave(self) -> None:
+    async def _drain(self) -> None:
         self.stopping = True
-        # Callers on kept pipes are told with each reply to go elsewhere.
+        # Responses on kept connections ask clients to close them and use another proxy.
         self.carrier.closing = True
-        # What is still at work shortly before the hard signal gets a final answer then:
-        # a pipe that just breaks would tell its caller less.
-        self._stop_deadline = self.clock.now() + self.config.grace_s * LAST_CALL
+        # Requests still in progress shortly before the kill signal get a final response then, because a
+        # connection that merely breaks would tell the client less.
+        self._stop_deadline = self.clock.now() + self.config.grace_s * FINAL_ANSWER_SHARE
         for exchange in self.carrier.table.values():
-            self._hurry(exchange)
+            self._apply_stop_deadline(exchange)
         self.log.info("stopping", exchanges=len(self.carrier.table))
-        # The platform asks once a second: still accept until it has surely asked.
+        # The platform polls readiness once a second: accept requests until it must have polled.
         await self.clock.sleep(self.config.lead_s)
         assert self._server is not None
-        await self._server.stop(self.config.grace_s * SERVER_END - self.config.lead_s)
+        await self._server.stop(self.config.grace_s * SERVER_STOP_SHARE - self.config.lead_s)
 
     async def _keep_ticking(self) -> None:
         while True:
-            # A freeze looks like silence, but who wakes can ask.
-            self._cut_off = not self.clock_jumped() and self.silence_s() > self.config.drain_s
+            # A freeze looks like silence, but a node that resumes can ask others.
+            self._isolated = not self.clock_jumped() and self.silence_s() > self.config.drain_s
             if self.clock_jumped():
-                self._doubt_now()
-                self.log.warning("frozen", span_s=round(self.clock.now() - self._tick, 2))
-            stall = self.clock.now() - self._tick - self.config.tick_interval_s
-            self.carrier.most("longest_stall_ms", int(stall * 1000))
-            self._tick = self.clock.now()
-            # Who heard nobody for so long may have missed a change: the first word it hears
-            # again tells nothing of that.
+                self._require_confirmation()
+                self.log.warning("frozen", span_s=round(self.clock.now() - self._last_tick_at, 2))
+            stall = self.clock.now() - self._last_tick_at - self.config.tick_interval_s
+            self.carrier.record_max("longest_stall_ms", int(stall * 1000))
+            self._last_tick_at = self.clock.now()
+            # After this much silence a change may have been missed, and the next message received does
+            # not show it.
             if self.silence_s() > self.config.drain_s:
-                self._doubt_now()
-            if self._doubt and (self._confirming is None or self._confirming.done()):
+                self._require_confirmation()
+            if self._needs_confirmation and (self._confirming is None or self._confirming.done()):
                 self._confirming = asyncio.create_task(self._confirm())
             await self.clock.sleep(self.config.tick_interval_s)
 
     async def _keep_documents(self) -> None:
-        """Fetch a document as soon as a higher version of it is named."""
+        """Fetch a document as soon as a higher version of it is announced."""
         while True:
             async with self.timeline.changed:
                 await ports.wait_for(
@@ -424,7 +423,7 @@
             if self.documents.outdated() and not await self.documents.catch_up(self._addresses()):
                 await self.clock.sleep(self.config.tick_interval_s)
 
-    async def _keep_saying(self) -> None:
+    async def _keep_publishing(self) -> None:
         while True:
-            self._say_self()
+            self._publish_status()
             await self.clock.sleep(self.config.dead_after_s)
--- a/packages/proxy/src/dykeswitch/proxy/resting.py
+++ b/packages/proxy/src/dykeswitch/proxy/resting.py
@@ -1,40 +1,40 @@
-"""For how long connections to a service's endpoints may lie idle before they are used again.
+"""Limits how long connections to a service's endpoints may be idle before they are used again.
 
-Endpoints say when they close an idle connection, but some forget it sooner and reset whatever comes
-on it next. A request that may not be repeated is lost by that, so one such reset makes a proxy
-wary of connections that lay idle about as long, to any endpoint of the service, for a while.
+Endpoints announce when they close an idle connection, but some drop it earlier and reset it on the next
+request. A request that must not be repeated is lost that way. After one such reset a proxy therefore
+avoids connections that were idle for about as long, to any endpoint of the service, for a while.
 """
 
 import dataclasses
 import math
 import typing
 
-# Resets after so much of a rest and more are avoided once one was seen: who forgets connections does
-# so sooner than it happened to show.
-CAUTION: typing.Final = 0.5
+# Share of the idle time at an observed reset that is still allowed. An endpoint that drops connections
+# does so earlier than the reset happened to show.
+IDLE_SAFETY_FACTOR: typing.Final = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limit:
-    """The longest rest allowed, in seconds, up to a moment of our own clock."""
+    """The longest idle time allowed, in seconds, and until when it applies by the local clock."""
 
-    rest_s: float
+    max_idle_s: float
     until: float
 
 
-class RestLimits:
-    """What one proxy learnt of each service's idle connections."""
+class IdleLimits:
+    """One proxy's idle limits by service."""
 
     def __init__(self, memory_s: float) -> None:
         self._memory_s = memory_s
         self._limits: dict[str, Limit] = {}
 
-    def reset(self, service: str, rested_s: float, now: float) -> None:
-        """A connection that had lain idle for so long was reset when it was used."""
-        rest_s = min(rested_s * CAUTION, self.longest(service, now))
-        self._limits[service] = Limit(rest_s, now + self._memory_s)
+    def record_reset(self, service: str, idle_s: float, now: float) -> None:
+        """Record that a connection was reset when it was used after being idle."""
+        max_idle_s = min(idle_s * IDLE_SAFETY_FACTOR, self.max_idle_s(service, now))
+        self._limits[service] = Limit(max_idle_s, now + self._memory_s)
 
-    def longest(self, service: str, now: float) -> float:
-        """The longest rest after which a connection may be used."""
+    def max_idle_s(self, service: str, now: float) -> float:
+        """Return the longest idle time, in seconds, after which a connection may still be used."""
         limit = self._limits.get(service)
-        return limit.rest_s if limit is not None and now < limit.until else math.inf
+        return limit.max_idle_s if limit is not None and now < limit.until else math.inf
--- a/packages/proxy/src/dykeswitch/proxy/senses.py
+++ b/packages/proxy/src/dykeswitch/proxy/senses.py
@@ -1,23 +1,23 @@
-"""What the stages of an exchange ask of the proxy that they are part of."""
+"""The proxy's knowledge of the fleet, as the stages of an exchange use it."""
 
 import typing
 
 
-class Senses(typing.Protocol):
-    """How much a proxy knows of the fleet at this moment."""
+class FleetStatus(typing.Protocol):
+    """How current a proxy's knowledge of the fleet is."""
 
-    async def confirm_fresh(self, by: float) -> bool:
-        """Whether what we hold is of today, found out first, by then, where that is in doubt."""
+    async def confirm_fresh(self, deadline: float) -> bool:
+        """Return whether the local state is current, confirming it by the deadline if that is in doubt."""
         ...
 
     def clock_jumped(self) -> bool:
-        """Whether our own clock shows that we were frozen."""
+        """Return whether a gap in the local clock shows that the process was frozen."""
         ...
 
     def silence_s(self) -> float:
-        """For how long no other node was heard."""
+        """Return the seconds since another node was last heard."""
         ...
 
     def borrowing_since(self) -> float | None:
-        """Since when we have a part of the fleet's extra go's, if we have one."""
+        """Return since when this proxy borrows from the fleet's budget for extra attempts, if it does."""
         ...
--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -58,15 +58,15 @@
     async def write(self, data: bytes) -> None:
         """Take a request in; raises `ConnectionResetError` after a rest that the endpoint forgets."""
         now = asyncio.get_running_loop().time()
-        rested_s, self._used = now - self._used, now
-        if rested_s > self._endpoint.forgets_s:
+        idle_s, self._used = now - self._used, now
+        if idle_s > self._endpoint.idle_reset_s:
             raise ConnectionResetError
         self._endpoint.requests.append(data)
         self._endpoint.sent_at.append(now)
         names = [line[len(ID) + 1 :] for line in data.split(b"\r\n") if line.lower().startswith(ID)]
         name = names[0].strip().decode() if names else "unnamed"
-        answer = self._endpoint.script.pop(0) if self._endpoint.script else [WHOLE]
-        self._coming += [part.replace("{id}", name) for part in answer]
+        response = self._endpoint.script.pop(0) if self._endpoint.script else [WHOLE]
+        self._coming += [part.replace("{id}", name) for part in response]
 
     async def read(self, max_bytes: int) -> bytes:
         """The next part of the answer, after the time that it takes."""
@@ -97,15 +97,15 @@
         self.requests: list[bytes] = []
         # When each of them came, in seconds of the loop.
         self.sent_at: list[float] = []
-        self.dialed = 0
+        self.connect_count = 0
         # How long each part of an answer takes, in seconds.
         self.work_s = 0.05
         # How long it takes to connect to it, in seconds.
-        self.dial_s = 0.0
+        self.connect_s = 0.0
         # Whether nothing comes of connecting to it.
         self.unreachable = False
         # After which rest it resets a connection that is used again.
-        self.forgets_s = math.inf
+        self.idle_reset_s = math.inf
 
 
 class ScriptedNetwork:
@@ -117,11 +117,11 @@
     async def connect(self, address: str, timeout_s: float) -> ports.Connection:
         """Connect to an endpoint; raises `TimeoutError` where it is unreachable."""
         endpoint = self._endpoints[address]
-        endpoint.dialed += 1
+        endpoint.connect_count += 1
         if endpoint.unreachable:
             await asyncio.sleep(timeout_s)
             raise TimeoutError
-        await asyncio.sleep(endpoint.dial_s)
+        await asyncio.sleep(endpoint.connect_s)
         return ScriptedConnection(endpoint)
 
     async def listen(self, address: str, serve: ports.Serve) -> ports.Listener:
@@ -129,10 +129,10 @@
         raise NotImplementedError
 
 
-class Calm:
+class HealthyFleetStatus:
     """A proxy that is sure of what it holds and has extra go's to spend."""
 
-    async def confirm_fresh(self, by: float) -> bool:
+    async def confirm_fresh(self, deadline: float) -> bool:
         """It is sure at once."""
         return True
 
@@ -150,7 +150,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Answer:
+class Response:
     """What a caller got."""
 
     status: int = 0
@@ -170,14 +170,16 @@
         machine = ports.Machine(clock, network, real.RealWeb(), ports.NoFaultPoints())
         marks = timelines.Marks(timeline, config.mark_s)
         log = logs.Log("proxy", "p", "error", clock)
-        self.carrier = carriers.Carrier(config, machine, timeline, marks, log, random.Random(1), Calm())
+        self.carrier = carriers.Carrier(
+            config, machine, timeline, marks, log, random.Random(1), HealthyFleetStatus()
+        )
         for n, address in enumerate(addresses):
             fields: timelines.Fields = {"service": "s", "address": address, "zone": "z"}
             fields.update(state=timelines.UP, born=[n, "r"], slots=2, load=0.0)
             timeline.write(timelines.ENDPOINT, f"e{n}", fields, 900.0, urgent=False)
         self.apply(LAYOUT)
         self._clock = clock
-        self._turn = 0
+        self._request_count = 0
 
     def apply(self, doc: typing.Any) -> None:
         """Put a layout in force."""
@@ -185,22 +187,22 @@
         assert isinstance(checked, outcome.Success)
         self.carrier.layout = checked.value
 
-    def apply_in(self, span_s: float, doc: typing.Any) -> None:
+    def apply_after(self, delay_s: float, doc: typing.Any) -> None:
         """Put a layout in force after some seconds, amid what is at work then."""
-        asyncio.get_running_loop().call_later(span_s, self.apply, doc)
+        asyncio.get_running_loop().call_later(delay_s, self.apply, doc)
 
-    async def ask(self, method: str = "GET", coins: int = 50) -> Answer:
+    async def send_request(self, method: str = "GET", retry_tokens: int = 50) -> Response:
         """One request of one caller, with so much of the shared budget in hand."""
-        answer = Answer()
+        response = Response()
 
         async def send(message: typing.Any) -> None:
-            answer.status = message.get("status", answer.status)
-            answer.headers += list(message.get("headers", ()))
-            answer.body += message.get("body", b"")
+            response.status = message.get("status", response.status)
+            response.headers += list(message.get("headers", ()))
+            response.body += message.get("body", b"")
 
-        self._turn += 1
+        self._request_count += 1
         exchange = exchanges.Exchange(
-            name=f"x{self._turn}",
+            name=f"x{self._request_count}",
             method=method,
             host="a.test",
             path="/thing",
@@ -212,12 +214,12 @@
             send=send,
         )
         # Coins of the shared budget, as registries would have lent them.
-        self.carrier._delivery.budget("s").lend(0, coins, self._clock.now() + 60)
-        await self.carrier.carry(exchange)
-        return answer
+        self.carrier._delivery.budget("s").lend(0, retry_tokens, self._clock.now() + 60)
+        await self.carrier.process(exchange)
+        return response
 
 
-def play(work: typing.Callable[[], typing.Awaitable[None]]) -> None:
+def run(work: typing.Callable[[], typing.Awaitable[None]]) -> None:
     """Run a test's work on virtual time."""
 
     async def main() -> None:
--- a/tests/test_between_attempts.py
+++ b/tests/test_between_attempts.py
@@ -10,14 +10,14 @@
 
 SERVICE: typing.Final = {"probe": "/healthz", "expiry_s": 5, "max_tries": 3}
 # While the first attempt is at work: each part of a scripted answer takes 0.05 s.
-AMID_THE_FIRST_S: typing.Final = 0.02
+DURING_FIRST_ATTEMPT_S: typing.Final = 0.02
 
 
 def _layout(*rules: dict[str, typing.Any]) -> dict[str, typing.Any]:
     return {"services": {"s": SERVICE, "t": SERVICE}, "rules": list(rules)}
 
 
-GONE: typing.Final = {
+WITHOUT_RULE: typing.Final = {
     "its route is removed": _layout({"path": "/other", "service": "s"}),
     "its route takes another method": _layout({"path": "/", "service": "s", "methods": ["POST"]}),
     "its split has no weight left": _layout(
@@ -25,7 +25,7 @@
     ),
 }
 WHOLE: typing.Final = scripted.WHOLE
-FAILED: typing.Final = {
+FAILED_ATTEMPTS: typing.Final = {
     "a reset before the answer": [scripted.RESET],
     "an end after the head": [WHOLE[:-5]],
     "a reset within the body": [WHOLE[:-2], scripted.RESET],
@@ -42,11 +42,11 @@
 FAILURE: typing.Final = "HTTP/1.1 500 Broken\r\nDykeswitch-Exchange: {id}\r\nContent-Length: 6\r\n\r\nbroken"
 
 
-def _sent(endpoints: typing.Iterable[scripted.ScriptedEndpoint]) -> int:
+def _sent_count(endpoints: typing.Iterable[scripted.ScriptedEndpoint]) -> int:
     return sum(len(endpoint.requests) for endpoint in endpoints)
 
 
-def in_turn(*script: list[str], count: int = 3) -> list[scripted.ScriptedEndpoint]:
+def sharing_script(*script: list[str], count: int = 3) -> list[scripted.ScriptedEndpoint]:
     """Endpoints that follow one script between them, whichever is asked first."""
     endpoints = [scripted.ScriptedEndpoint() for _ in range(count)]
     shared = list(script)
@@ -55,8 +55,8 @@
     return endpoints
 
 
-@pytest.mark.parametrize("layout", GONE.values(), ids=GONE)
-@pytest.mark.parametrize("script", FAILED.values(), ids=FAILED)
+@pytest.mark.parametrize("layout", WITHOUT_RULE.values(), ids=WITHOUT_RULE)
+@pytest.mark.parametrize("script", FAILED_ATTEMPTS.values(), ids=FAILED_ATTEMPTS)
 def test_the_head_of_a_failed_attempt_is_no_answer_once_its_rule_is_gone(
     script: list[str], layout: dict[str, typing.Any]
 ) -> None:
@@ -65,30 +65,30 @@
     async def work() -> None:
         endpoints = [scripted.ScriptedEndpoint(list(script)) for _ in range(2)]
         stage = scripted.Stage(*endpoints)
-        stage.apply_in(AMID_THE_FIRST_S, layout)
-        answer = await stage.ask()
-        assert answer.status == (504 if scripted.SILENT in script else 502)
-        assert any(key == b"dykeswitch-result" for key, _ in answer.headers)
+        stage.apply_after(DURING_FIRST_ATTEMPT_S, layout)
+        response = await stage.send_request()
+        assert response.status == (504 if scripted.SILENT in script else 502)
+        assert any(key == b"dykeswitch-result" for key, _ in response.headers)
         # It may be running still: nobody is to be told when to come again.
-        assert not any(key == b"retry-after" for key, _ in answer.headers)
-        assert _sent(endpoints) == 1
+        assert not any(key == b"retry-after" for key, _ in response.headers)
+        assert _sent_count(endpoints) == 1
         assert stage.carrier.counts["rules_gone_between_attempts"] == 1
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_refusal_by_promise_does_not_hide_an_earlier_attempt_whose_end_is_unknown() -> None:
     """A read broken off and then turned away was told, by its last endpoint's words, that nothing ran."""
 
     async def work() -> None:
-        endpoints = in_turn([WHOLE[:-2], scripted.RESET], [BUSY])
+        endpoints = sharing_script([WHOLE[:-2], scripted.RESET], [BUSY])
         stage = scripted.Stage(*endpoints)
         # The first attempt has two parts of 0.05 s, the second one.
-        stage.apply_in(0.12, GONE["its route is removed"])
-        answer = await stage.ask()
-        assert (answer.status, _sent(endpoints)) == (502, 2)
+        stage.apply_after(0.12, WITHOUT_RULE["its route is removed"])
+        response = await stage.send_request()
+        assert (response.status, _sent_count(endpoints)) == (502, 2)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_whole_failure_is_the_answer_though_its_rule_is_gone() -> None:
@@ -97,11 +97,11 @@
     async def work() -> None:
         endpoints = [scripted.ScriptedEndpoint([FAILURE]) for _ in range(2)]
         stage = scripted.Stage(*endpoints)
-        stage.apply_in(AMID_THE_FIRST_S, GONE["its route is removed"])
-        answer = await stage.ask()
-        assert (answer.status, answer.body, _sent(endpoints)) == (500, b"broken", 1)
+        stage.apply_after(DURING_FIRST_ATTEMPT_S, WITHOUT_RULE["its route is removed"])
+        response = await stage.send_request()
+        assert (response.status, response.body, _sent_count(endpoints)) == (500, b"broken", 1)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_request_that_nobody_ran_is_told_that_its_rule_is_gone() -> None:
@@ -110,21 +110,21 @@
     async def work() -> None:
         endpoints = [scripted.ScriptedEndpoint([BUSY]) for _ in range(2)]
         stage = scripted.Stage(*endpoints)
-        stage.apply_in(AMID_THE_FIRST_S, GONE["its route is removed"])
-        answer = await stage.ask()
-        assert (answer.status, _sent(endpoints)) == (404, 1)
+        stage.apply_after(DURING_FIRST_ATTEMPT_S, WITHOUT_RULE["its route is removed"])
+        response = await stage.send_request()
+        assert (response.status, _sent_count(endpoints)) == (404, 1)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
-NONE_MAY_FOLLOW: typing.Final = GONE | {
+NO_FURTHER_ATTEMPT: typing.Final = WITHOUT_RULE | {
     "its route writes now": _layout({"path": "/", "service": "s", "writing": True}),
     "its route has one try now": _layout({"path": "/", "service": "s", "max_tries": 1}),
     "its route leads to a service without endpoints": _layout({"path": "/", "service": "t"}),
 }
 
 
-@pytest.mark.parametrize("layout", NONE_MAY_FOLLOW.values(), ids=NONE_MAY_FOLLOW)
+@pytest.mark.parametrize("layout", NO_FURTHER_ATTEMPT.values(), ids=NO_FURTHER_ATTEMPT)
 def test_an_attempt_goes_on_to_its_end_where_the_newest_rule_lets_none_follow(
     layout: dict[str, typing.Any],
 ) -> None:
@@ -136,14 +136,14 @@
             # Longer than a third of 5 s, after which it would give way to the next of three tries.
             endpoint.work_s = 2.5
         stage = scripted.Stage(*endpoints)
-        stage.apply_in(AMID_THE_FIRST_S, layout)
-        answer = await stage.ask()
-        assert (answer.status, answer.body, _sent(endpoints)) == (200, b"whole", 1)
+        stage.apply_after(DURING_FIRST_ATTEMPT_S, layout)
+        response = await stage.send_request()
+        assert (response.status, response.body, _sent_count(endpoints)) == (200, b"whole", 1)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
-STILL_ALLOWED: typing.Final = {
+FURTHER_ATTEMPT_ALLOWED: typing.Final = {
     "its route leads there by another rule": _layout({"path": "/thing", "service": "s"}),
     "its route is split now": _layout(
         {"path": "/", "split": [{"service": "s", "weight": 1}, {"service": "t", "weight": 9}]}
@@ -151,92 +151,94 @@
 }
 
 
-@pytest.mark.parametrize("layout", STILL_ALLOWED.values(), ids=STILL_ALLOWED)
+@pytest.mark.parametrize("layout", FURTHER_ATTEMPT_ALLOWED.values(), ids=FURTHER_ATTEMPT_ALLOWED)
 def test_an_attempt_still_gives_way_where_the_newest_rule_lets_another_follow(
     layout: dict[str, typing.Any],
 ) -> None:
     """The other side of the bound above: a change that leaves the request its way costs it no try."""
 
     async def work() -> None:
-        endpoints = in_turn([scripted.SILENT], count=2)
+        endpoints = sharing_script([scripted.SILENT], count=2)
         stage = scripted.Stage(*endpoints)
-        stage.apply_in(AMID_THE_FIRST_S, layout)
-        answer = await stage.ask()
-        assert (answer.status, answer.body, _sent(endpoints)) == (200, b"whole", 2)
+        stage.apply_after(DURING_FIRST_ATTEMPT_S, layout)
+        response = await stage.send_request()
+        assert (response.status, response.body, _sent_count(endpoints)) == (200, b"whole", 2)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
-WRITES_NOW: typing.Final = NONE_MAY_FOLLOW["its route writes now"]
-ONE_TRY_NOW: typing.Final = NONE_MAY_FOLLOW["its route has one try now"]
-MAY_HAVE_RUN: typing.Final = {name: FAILED[name] for name in FAILED if "silence" not in name} | {
+WRITES_NOW: typing.Final = NO_FURTHER_ATTEMPT["its route writes now"]
+ONE_TRY_NOW: typing.Final = NO_FURTHER_ATTEMPT["its route has one try now"]
+MAY_HAVE_RUN: typing.Final = {
+    name: FAILED_ATTEMPTS[name] for name in FAILED_ATTEMPTS if "silence" not in name
+} | {
     "a failure without a promise": [FAILURE],
     "a 503 without a promise": [FAILURE.replace("500 Broken", "503 Broken")],
 }
 
 
-@pytest.mark.parametrize("dial_s", [0.0, 0.2], ids=["while it is at work", "while the next one connects"])
+@pytest.mark.parametrize("connect_s", [0.0, 0.2], ids=["while it is at work", "while the next one connects"])
 @pytest.mark.parametrize("script", MAY_HAVE_RUN.values(), ids=MAY_HAVE_RUN)
 def test_what_may_have_run_is_not_sent_again_under_a_rule_that_writes(
-    script: list[str], dial_s: float
+    script: list[str], connect_s: float
 ) -> None:
     """A read that had run was sent once more after a change made its route one of orders."""
 
     async def work() -> None:
-        endpoints = in_turn(list(script))
+        endpoints = sharing_script(list(script))
         for endpoint in endpoints:
-            endpoint.dial_s = dial_s
+            endpoint.connect_s = connect_s
         stage = scripted.Stage(*endpoints)
         # With 0.2 s to connect the first attempt is over after 0.3 s, and the next goes off after 0.4 s.
-        stage.apply_in(0.35 if dial_s else AMID_THE_FIRST_S, WRITES_NOW)
-        answer = await stage.ask()
-        assert _sent(endpoints) == 1
+        stage.apply_after(0.35 if connect_s else DURING_FIRST_ATTEMPT_S, WRITES_NOW)
+        response = await stage.send_request()
+        assert _sent_count(endpoints) == 1
         # Nothing that a caller could take for "it did not run: send it again".
-        assert answer.status in (500, 502)
-        assert not any(key == b"retry-after" for key, _ in answer.headers)
+        assert response.status in (500, 502)
+        assert not any(key == b"retry-after" for key, _ in response.headers)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_later_promise_takes_nothing_back_under_a_rule_that_writes() -> None:
     """What one endpoint ran and another turned away was told as not run, once its route was one of orders."""
 
     async def work() -> None:
-        endpoints = in_turn([FAILURE], [BUSY])
+        endpoints = sharing_script([FAILURE], [BUSY])
         stage = scripted.Stage(*endpoints)
         # While the second attempt is at work.
-        stage.apply_in(0.07, WRITES_NOW)
-        answer = await stage.ask()
-        assert (answer.status, _sent(endpoints)) == (502, 2)
-        assert not any(key == b"retry-after" for key, _ in answer.headers)
+        stage.apply_after(0.07, WRITES_NOW)
+        response = await stage.send_request()
+        assert (response.status, _sent_count(endpoints)) == (502, 2)
+        assert not any(key == b"retry-after" for key, _ in response.headers)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_what_surely_did_not_run_is_sent_again_under_a_rule_that_writes() -> None:
     """The other side of the bound above: a promise holds under any rule."""
 
     async def work() -> None:
-        endpoints = in_turn([BUSY])
+        endpoints = sharing_script([BUSY])
         stage = scripted.Stage(*endpoints)
-        stage.apply_in(AMID_THE_FIRST_S, WRITES_NOW)
-        answer = await stage.ask()
-        assert (answer.status, answer.body, _sent(endpoints)) == (200, b"whole", 2)
+        stage.apply_after(DURING_FIRST_ATTEMPT_S, WRITES_NOW)
+        response = await stage.send_request()
+        assert (response.status, response.body, _sent_count(endpoints)) == (200, b"whole", 2)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
-@pytest.mark.parametrize("dial_s", [0.0, 0.2], ids=["while it is at work", "while the next one connects"])
-def test_no_more_endpoints_are_tried_than_the_newest_rule_allows(dial_s: float) -> None:
+@pytest.mark.parametrize("connect_s", [0.0, 0.2], ids=["while it is at work", "while the next one connects"])
+def test_no_more_endpoints_are_tried_than_the_newest_rule_allows(connect_s: float) -> None:
     """A read was sent to a second endpoint after a change had cut its tries to one."""
 
     async def work() -> None:
-        endpoints = in_turn([scripted.RESET])
+        endpoints = sharing_script([scripted.RESET])
         for endpoint in endpoints:
-            endpoint.dial_s = dial_s
+            endpoint.connect_s = connect_s
         stage = scripted.Stage(*endpoints)
-        stage.apply_in(0.3 if dial_s else AMID_THE_FIRST_S, ONE_TRY_NOW)
-        answer = await stage.ask()
-        assert (answer.status, _sent(endpoints)) == (502, 1)
+        stage.apply_after(0.3 if connect_s else DURING_FIRST_ATTEMPT_S, ONE_TRY_NOW)
+        response = await stage.send_request()
+        assert (response.status, _sent_count(endpoints)) == (502, 1)
 
-    scripted.play(work)
+    scripted.run(work)
--- a/tests/test_data_path.py
+++ b/tests/test_data_path.py
@@ -28,22 +28,22 @@
         endpoint = scripted.ScriptedEndpoint([before, scripted.WHOLE], [before + scripted.WHOLE])
         stage = scripted.Stage(endpoint)
         for _ in range(2):
-            answer = await stage.ask("POST")
-            assert (answer.status, answer.body) == (200, b"whole")
-        assert (len(endpoint.requests), endpoint.dialed) == (2, 1)
+            response = await stage.send_request("POST")
+            assert (response.status, response.body) == (200, b"whole")
+        assert (len(endpoint.requests), endpoint.connect_count) == (2, 1)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_switch_of_protocols_that_nobody_asked_for_is_no_answer() -> None:
     async def work() -> None:
         switch = "HTTP/1.1 101 Switching Protocols\r\nUpgrade: other\r\n\r\n"
         endpoint = scripted.ScriptedEndpoint([switch, "what ever"])
-        answer = await scripted.Stage(endpoint).ask("POST")
-        assert answer.status == 502
+        response = await scripted.Stage(endpoint).send_request("POST")
+        assert response.status == 502
         assert len(endpoint.requests) == 1
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 BROKEN: typing.Final = {
@@ -67,19 +67,19 @@
         stage = scripted.Stage(*endpoints)
         if rested:
             for _ in range(12):
-                assert (await stage.ask("POST")).status == 200
+                assert (await stage.send_request("POST")).status == 200
             await asyncio.sleep(0.4)
         for endpoint in endpoints:
             endpoint.requests.clear()
             endpoint.script = [list(script) for _ in range(5)]
-        answer = await stage.ask("POST")
-        assert answer.status == (504 if scripted.SILENT in script else 502)
-        assert b"whole" not in answer.body
+        response = await stage.send_request("POST")
+        assert response.status == (504 if scripted.SILENT in script else 502)
+        assert b"whole" not in response.body
         # Nothing that a caller could take for "it did not run: send it again".
-        assert not any(key == b"retry-after" for key, _ in answer.headers)
+        assert not any(key == b"retry-after" for key, _ in response.headers)
         assert sum(len(endpoint.requests) for endpoint in endpoints) == 1
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 @pytest.mark.parametrize("script", BROKEN.values(), ids=BROKEN)
@@ -87,11 +87,11 @@
     async def work() -> None:
         endpoints = [scripted.ScriptedEndpoint(list(script)) for _ in range(2)]
         endpoints.append(scripted.ScriptedEndpoint())
-        answer = await scripted.Stage(*endpoints).ask()
-        assert (answer.status, answer.body) == (200, b"whole")
+        response = await scripted.Stage(*endpoints).send_request()
+        assert (response.status, response.body) == (200, b"whole")
         assert max(len(endpoint.requests) for endpoint in endpoints) == 1
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_late_answer_goes_to_nobody_once_its_caller_was_told() -> None:
@@ -101,13 +101,13 @@
         late = scripted.WHOLE.replace("{id}", "x1").replace("whole", "later")
         endpoint = scripted.ScriptedEndpoint([scripted.SILENT, late])
         stage = scripted.Stage(endpoint)
-        assert (await stage.ask("POST")).status == 504
-        answer = await stage.ask("POST")
-        assert (answer.status, answer.body) == (200, b"whole")
+        assert (await stage.send_request("POST")).status == 504
+        response = await stage.send_request("POST")
+        assert (response.status, response.body) == (200, b"whole")
         # On another connection: what comes on the first belongs to nobody.
-        assert endpoint.dialed == 2
+        assert endpoint.connect_count == 2
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 @pytest.mark.parametrize("why", ["no coins", "stopping", "no other endpoint", "another can be made"])
@@ -118,14 +118,14 @@
         slow.work_s = other.work_s = 2.5
         stage = scripted.Stage(slow) if why == "no other endpoint" else scripted.Stage(slow, other)
         stage.carrier.closing = why == "stopping"
-        answer = await stage.ask(coins=0 if why == "no coins" else 50)
+        response = await stage.send_request(retry_tokens=0 if why == "no coins" else 50)
         sent = len(slow.requests) + len(other.requests)
         if why == "another can be made":
             assert sent == 2
         else:
-            assert (answer.status, answer.body, sent) == (200, b"whole", 1)
+            assert (response.status, response.body, sent) == (200, b"whole", 1)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def _unsigned(body: str, status: str = "200 OK") -> str:
@@ -139,26 +139,26 @@
     async def work() -> None:
         endpoint = scripted.ScriptedEndpoint([scripted.WHOLE], [_unsigned("stray", status), scripted.WHOLE])
         stage = scripted.Stage(endpoint)
-        assert (await stage.ask("POST")).body == b"whole"
-        answer = await stage.ask("POST")
-        assert answer.status == 502
-        assert b"stray" not in answer.body
+        assert (await stage.send_request("POST")).body == b"whole"
+        response = await stage.send_request("POST")
+        assert response.status == 502
+        assert b"stray" not in response.body
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_an_endpoint_that_never_names_exchanges_is_taken_at_its_word() -> None:
     async def work() -> None:
         stage = scripted.Stage(scripted.ScriptedEndpoint([_unsigned("one")], [_unsigned("two")]))
-        assert [(await stage.ask()).body for _ in range(2)] == [b"one", b"two"]
+        assert [(await stage.send_request()).body for _ in range(2)] == [b"one", b"two"]
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_surplus_answer_is_not_for_a_request_that_has_no_id() -> None:
     async def main() -> None:
-        stray = scripted.WHOLE.replace("{id}", "x1").replace("whole", "stray")
-        endpoint = scripted.ScriptedEndpoint([scripted.WHOLE], [stray, _unsigned("mine")])
+        surplus = scripted.WHOLE.replace("{id}", "x1").replace("whole", "stray")
+        endpoint = scripted.ScriptedEndpoint([scripted.WHOLE], [surplus, _unsigned("mine")])
         connection = connections.EndpointConnection(
             "e", "10.0.0.1:1", scripted.ScriptedConnection(endpoint), 0.0, scripted.ID
         )
@@ -173,23 +173,23 @@
     """It fails too seldom, as one proxy of many sees it, to be marked by that proxy."""
 
     async def work() -> None:
-        grey, good = (
+        grey, healthy = (
             scripted.ScriptedEndpoint(*[[scripted.WHOLE], [scripted.RESET]] * 100),
             scripted.ScriptedEndpoint(),
         )
         # Where it does answer it is the better one.
         grey.work_s = 0.04
-        stage = scripted.Stage(grey, good)
-        for entry, span in zip(stage.carrier.selector.up("s"), (0.04, 0.05)):
+        stage = scripted.Stage(grey, healthy)
+        for entry, mean_s in zip(stage.carrier.selector.up("s"), (0.04, 0.05)):
             for _ in range(50):
-                stage.carrier.selector.learn(entry, span, 0.0, None)
+                stage.carrier.selector.learn(entry, mean_s, 0.0, None)
         for _ in range(60):
-            assert (await stage.ask()).status == 200
+            assert (await stage.send_request()).status == 200
             await asyncio.sleep(2.0)
         assert stage.carrier.counts.get("marks", 0) == 0
         assert len(grey.requests) <= 20
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_writes_are_not_lost_again_and_again_to_connections_that_were_forgotten() -> None:
@@ -197,25 +197,25 @@
 
     async def work() -> None:
         endpoint = scripted.ScriptedEndpoint()
-        endpoint.forgets_s = 0.3
+        endpoint.idle_reset_s = 0.3
         stage = scripted.Stage(endpoint)
         answers = []
         for _ in range(40):
-            answers.append(await stage.ask("POST"))
+            answers.append(await stage.send_request("POST"))
             await asyncio.sleep(0.5)
-        lost = [answer for answer in answers if answer.status != 200]
+        lost = [response for response in answers if response.status != 200]
         # One shows it; what it taught is tried again after a while, since it may be over.
         assert len(lost) <= 4
         # Once it is over connections are used again.
-        endpoint.forgets_s = math.inf
+        endpoint.idle_reset_s = math.inf
         await asyncio.sleep(5.0)
-        dialed = endpoint.dialed
+        connect_count = endpoint.connect_count
         for _ in range(10):
-            assert (await stage.ask("POST")).status == 200
+            assert (await stage.send_request("POST")).status == 200
             await asyncio.sleep(0.5)
-        assert endpoint.dialed <= dialed + 1
+        assert endpoint.connect_count <= connect_count + 1
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_proxy_whose_own_link_is_full_marks_no_endpoints() -> None:
@@ -226,14 +226,14 @@
         stage = scripted.Stage(*endpoints)
         for endpoint in endpoints:
             endpoint.unreachable = True
-        await asyncio.gather(*(stage.ask() for _ in range(2)))
-        assert sum(endpoint.dialed for endpoint in endpoints) >= 10
+        await asyncio.gather(*(stage.send_request() for _ in range(2)))
+        assert sum(endpoint.connect_count for endpoint in endpoints) >= 10
         assert stage.carrier.counts.get("marks", 0) == 0
         for endpoint in endpoints:
             endpoint.unreachable = False
-        assert (await stage.ask()).status == 200
+        assert (await stage.send_request()).status == 200
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_an_endpoint_that_is_never_reached_is_marked() -> None:
@@ -242,10 +242,10 @@
         endpoint.unreachable = True
         stage = scripted.Stage(endpoint)
         for _ in range(3):
-            await stage.ask()
+            await stage.send_request()
         assert stage.carrier.counts["marks"] == 1
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 # HTTP pipelining by a client, on the web server that proxies use.
@@ -300,17 +300,17 @@
 
 
 def test_what_is_pipelined_behind_a_broken_answer_is_not_begun() -> None:
-    begun: list[str] = []
+    started: list[str] = []
 
     async def app(scope: ports.Scope, receive: ports.Receive, send: ports.Send) -> None:
-        begun.append(str(scope["path"]))
+        started.append(str(scope["path"]))
         if scope["path"] != "/one":
             await _answer_with_path(scope, send)
             return
         await send({"type": "http.response.start", "status": 200, "headers": [(b"content-length", b"9")]})
         await send({"type": "http.response.body", "body": b"/on", "more_body": True})
-        raise answering.BrokenReplyError("cut by the endpoint")
+        raise answering.BrokenResponseError("cut by the endpoint")
 
     data = asyncio.run(_pipelined(app, ["/one", "/two"]))
     assert _bodies(data) == [b"/on"]
-    assert begun == ["/one"]
+    assert started == ["/one"]
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -41,9 +41,9 @@
 
     def __init__(self) -> None:
         self.work_s = WORK_S
-        self.arrived: list[float] = []
-        self.finished: list[float] = []
-        self.broken_off: list[float] = []
+        self.arrived_at: list[float] = []
+        self.finished_at: list[float] = []
+        self.aborted_at: list[float] = []
         # Parts of an answer that streams, one each `work_s`; none for an answer at once.
         self.parts = 0
         self.head = "HTTP/1.1 200 OK"
@@ -51,16 +51,16 @@
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, asyncio.IncompleteReadError):
             while True:
-                await self._one(reader, writer)
+                await self._serve_one(reader, writer)
         writer.close()
 
-    async def _one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         head = await reader.readuntil(b"\r\n\r\n")
         for line in head.lower().split(b"\r\n"):
             if line.startswith(b"content-length:"):
                 await reader.readexactly(int(line.partition(b":")[2]))
         now = asyncio.get_running_loop().time
-        self.arrived.append(now())
+        self.arrived_at.append(now())
         watch = asyncio.ensure_future(reader.read(1))
         try:
             if self.parts:
@@ -68,7 +68,7 @@
             for _ in range(max(1, self.parts)):
                 await asyncio.wait([watch], timeout=self.work_s)
                 if watch.done():
-                    self.broken_off.append(now())
+                    self.aborted_at.append(now())
                     raise ConnectionResetError
                 if self.parts:
                     writer.write(b"10000\r\n" + b"x" * 0x10000 + b"\r\n")
@@ -76,7 +76,7 @@
         finally:
             watch.cancel()
             await asyncio.wait([watch])
-        self.finished.append(now())
+        self.finished_at.append(now())
         whole = f"{self.head}\r\nContent-Length: 2\r\n\r\nok"
         writer.write(b"0\r\n\r\n" if self.parts else whole.encode())
 
@@ -102,7 +102,7 @@
         checked = layouts.check(LAYOUT)
         assert isinstance(checked, outcome.Success)
         self.proxy.carrier.layout = checked.value
-        self.proxy._confirmed, self.proxy._doubt = True, False
+        self.proxy._confirmed, self.proxy._needs_confirmation = True, False
         self.proxy.carrier._delivery.budget("s").lend(0, 50, machine.clock.now() + 60)
 
     async def __aenter__(self) -> "Stage":
@@ -124,7 +124,7 @@
     async def _tick(self) -> None:
         """Other nodes are heard all the time, and the clock shows no gap."""
         while True:
-            self.proxy._tick = self.proxy.gossip.last_heard_at = self.proxy.clock.now()
+            self.proxy._last_tick_at = self.proxy.gossip.last_heard_at = self.proxy.clock.now()
             await asyncio.sleep(0.02)
 
     @property
@@ -135,19 +135,19 @@
     def counts(self) -> dict[str, int]:
         return self.proxy.carrier.counts
 
-    async def caller(self, data: bytes) -> "Caller":
+    async def connect(self, data: bytes) -> "Client":
         host, port = real.split_address(self.web)
         reader, writer = await asyncio.open_connection(host, port)
         writer.write(data)
-        return Caller(reader, writer)
+        return Client(reader, writer)
 
-    async def until(self, test: typing.Callable[[], bool], wait_s: float = 5.0) -> None:
-        async with asyncio.timeout(wait_s):
-            while not test():  # noqa: ASYNC110
+    async def until(self, predicate: typing.Callable[[], bool], timeout_s: float = 5.0) -> None:
+        async with asyncio.timeout(timeout_s):
+            while not predicate():  # noqa: ASYNC110
                 await asyncio.sleep(0.01)
 
 
-class Caller:
+class Client:
     """One connection of a caller, which may leave at any moment."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -163,7 +163,7 @@
         else:
             self.writer.close()
 
-    async def answer(self) -> bytes:
+    async def read_response(self) -> bytes:
         head = await self.reader.readuntil(b"\r\n\r\n")
         length = next(
             line for line in head.lower().split(b"\r\n") if line.startswith(b"content-length:")
@@ -172,16 +172,16 @@
 
 
 def test_a_departure_is_told_once_and_to_who_asks_late() -> None:
-    told: list[str] = []
+    notified: list[str] = []
     departure = departures.Departure()
-    departure.watch(lambda: told.append("first"))
+    departure.watch(lambda: notified.append("first"))
     departure.unwatch()
-    departure.watch(lambda: told.append("second"))
+    departure.watch(lambda: notified.append("second"))
     departure.announce()
     departure.announce()
-    assert told == ["second"]
-    departure.watch(lambda: told.append("late"))
-    assert told == ["second", "late"]
+    assert notified == ["second"]
+    departure.watch(lambda: notified.append("late"))
+    assert notified == ["second", "late"]
 
 
 def test_a_server_that_tells_no_departure_has_one_that_never_comes() -> None:
@@ -191,15 +191,15 @@
 def test_a_departure_is_counted_by_how_far_the_request_had_come() -> None:
     async def main() -> None:
         async with Stage() as stage:
-            caller = await stage.caller(GET)
-            await stage.until(lambda: len(stage.endpoint.arrived) == 1)
-            caller.leave()
+            client = await stage.connect(GET)
+            await stage.until(lambda: len(stage.endpoint.arrived_at) == 1)
+            client.leave()
             await stage.until(lambda: "callers_left_at_work" in stage.counts)
             # An answer that is whole, and a connection that is closed after it, is no departure.
             stage.endpoint.work_s = 0.01
-            calm = await stage.caller(GET)
-            assert (await calm.answer()).startswith(b"HTTP/1.1 200")
-            calm.leave()
+            second = await stage.connect(GET)
+            assert (await second.read_response()).startswith(b"HTTP/1.1 200")
+            second.leave()
             await asyncio.sleep(0.05)
             assert {n: c for n, c in stage.counts.items() if n.startswith("callers_left")} == {
                 "callers_left_at_work": 1
@@ -208,59 +208,61 @@
     asyncio.run(main())
 
 
-async def _plain(stage: Stage) -> Caller:
-    return await stage.caller(GET)
+async def _plain(stage: Stage) -> Client:
+    return await stage.connect(GET)
 
 
-async def _behind_another(stage: Stage) -> Caller:
+async def _behind_another(stage: Stage) -> Client:
     """On a kept connection, behind a request that is answered."""
     stage.endpoint.work_s = 0.01
-    caller = await stage.caller(GET)
-    assert (await caller.answer()).startswith(b"HTTP/1.1 200")
+    client = await stage.connect(GET)
+    assert (await client.read_response()).startswith(b"HTTP/1.1 200")
     stage.endpoint.work_s = WORK_S
-    stage.endpoint.arrived.clear()
-    stage.endpoint.finished.clear()
-    caller.writer.write(GET)
-    return caller
+    stage.endpoint.arrived_at.clear()
+    stage.endpoint.finished_at.clear()
+    client.writer.write(GET)
+    return client
 
 
-async def _before_another(stage: Stage) -> Caller:
+async def _before_another(stage: Stage) -> Client:
     """With a second request already sent behind it, which the web server leaves unread for now."""
-    return await stage.caller(GET + GET)
+    return await stage.connect(GET + GET)
 
 
-async def _then_another(stage: Stage) -> Caller:
+async def _then_another(stage: Stage) -> Client:
     """With a second request that comes while the first is at work."""
-    caller = await stage.caller(GET)
-    await stage.until(lambda: bool(stage.endpoint.arrived))
-    caller.writer.write(GET)
+    client = await stage.connect(GET)
+    await stage.until(lambda: bool(stage.endpoint.arrived_at))
+    client.writer.write(GET)
     await asyncio.sleep(0.1)
-    return caller
+    return client
 
 
-async def _with_a_long_body(stage: Stage) -> Caller:
+async def _with_a_long_body(stage: Stage) -> Client:
     """A body that the web server takes in parts."""
     body = b"x" * 400_000
-    return await stage.caller(b"GET /thing HTTP/1.1\r\nHost: a.test\r\nContent-Length: 400000\r\n\r\n" + body)
+    return await stage.connect(
+        b"GET /thing HTTP/1.1\r\nHost: a.test\r\nContent-Length: 400000\r\n\r\n" + body
+    )
 
 
-async def _amid_the_answer(stage: Stage) -> Caller:
+async def _amid_the_answer(stage: Stage) -> Client:
     """An answer that streams, of which the caller has had a part."""
     stage.endpoint.parts, stage.endpoint.work_s = 40, 0.1
-    caller = await stage.caller(GET)
+    client = await stage.connect(GET)
     # More than the proxy holds back: the rest of it streams.
-    await caller.reader.readexactly(300_000)
-    return caller
+    await client.reader.readexactly(300_000)
+    return client
 
 
-async def _while_stopping(stage: Stage) -> Caller:
-    caller = await stage.caller(GET)
-    await stage.until(lambda: bool(stage.endpoint.arrived))
+async def _while_stopping(stage: Stage) -> Client:
+    client = await stage.connect(GET)
+    await stage.until(lambda: bool(stage.endpoint.arrived_at))
     stage.proxy.stopping = stage.proxy.carrier.closing = True
-    return caller
+    return client
 
 
-COMINGS: typing.Final = {
+ARRIVALS: typing.Final = {
     "a plain request": _plain,
     "behind another on its connection": _behind_another,
     "before another on its connection": _before_another,
@@ -272,23 +274,23 @@
 
 
 @pytest.mark.parametrize("reset", [False, True], ids=["close", "reset"])
-@pytest.mark.parametrize("come", COMINGS.values(), ids=COMINGS)
+@pytest.mark.parametrize("come", ARRIVALS.values(), ids=ARRIVALS)
 def test_a_repeatable_attempt_is_broken_off_when_its_caller_leaves(
-    come: typing.Callable[[Stage], typing.Awaitable[Caller]], reset: bool
+    come: typing.Callable[[Stage], typing.Awaitable[Client]], reset: bool
 ) -> None:
     async def main() -> None:
         async with Stage() as stage:
-            caller = await come(stage)
-            await stage.until(lambda: bool(stage.endpoint.arrived))
+            client = await come(stage)
+            await stage.until(lambda: bool(stage.endpoint.arrived_at))
             await asyncio.sleep(0.1)
             left_at = asyncio.get_running_loop().time()
-            caller.leave(reset)
-            await stage.until(lambda: bool(stage.endpoint.broken_off or stage.endpoint.finished))
-            assert len(stage.endpoint.broken_off) == 1
-            assert stage.endpoint.broken_off[0] - left_at < SOON_S
+            client.leave(reset)
+            await stage.until(lambda: bool(stage.endpoint.aborted_at or stage.endpoint.finished_at))
+            assert len(stage.endpoint.aborted_at) == 1
+            assert stage.endpoint.aborted_at[0] - left_at < SOON_S
             # No second try, no mark, and nothing that is still counted.
             await asyncio.sleep(0.05)
-            assert len(stage.endpoint.arrived) == 1
+            assert len(stage.endpoint.arrived_at) == 1
             assert stage.proxy.carrier._marks.mark_of("e0") is None
             assert stage.proxy.carrier.selector.failures("e0") == 0
             assert (stage.proxy.carrier.table, stage.proxy.carrier.selector.flights) == ({}, {})
@@ -302,13 +304,13 @@
         endpoint.head = "HTTP/1.1 503 Busy\r\nDykeswitch-Promise: not-run"
 
 
-async def _unsure(stage: Stage) -> None:
+async def _unconfirmed(stage: Stage) -> None:
     """The proxy has first to become sure of its configuration."""
-    was = stage.proxy.confirm_fresh
+    original = stage.proxy.confirm_fresh
 
-    async def confirm_fresh(by: float) -> bool:
+    async def confirm_fresh(deadline: float) -> bool:
         await asyncio.sleep(0.4)
-        return await was(by)
+        return await original(deadline)
 
     stage.proxy.confirm_fresh = confirm_fresh  # type: ignore[method-assign]
 
@@ -327,7 +329,7 @@
 
 WAITS: typing.Final = {
     "between two tries": _between_two_tries,
-    "while the proxy is not sure": _unsure,
+    "while the proxy is not sure": _unconfirmed,
     "while a connection is opened": _connecting,
 }
 
@@ -342,12 +344,12 @@
             for endpoint in stage.endpoints:
                 endpoint.work_s = 0.3
             await wait(stage)
-            caller = await stage.caller(GET.replace(b"GET", method))
+            client = await stage.connect(GET.replace(b"GET", method))
             await asyncio.sleep(0.15)
-            arrived = sum(len(endpoint.arrived) for endpoint in stage.endpoints)
-            caller.leave()
+            arrived_count = sum(len(endpoint.arrived_at) for endpoint in stage.endpoints)
+            client.leave()
             await asyncio.sleep(1.0)
-            assert sum(len(endpoint.arrived) for endpoint in stage.endpoints) == arrived
+            assert sum(len(endpoint.arrived_at) for endpoint in stage.endpoints) == arrived_count
             assert (stage.proxy.carrier.table, stage.proxy.carrier.selector.flights) == ({}, {})
 
     asyncio.run(main())
@@ -357,14 +359,14 @@
     async def main() -> None:
         async with Stage() as stage:
             stage.endpoint.work_s = 0.3
-            caller = await stage.caller(
+            client = await stage.connect(
                 b"POST /thing HTTP/1.1\r\nHost: a.test\r\nContent-Length: 2\r\n\r\nhi"
             )
-            await stage.until(lambda: bool(stage.endpoint.arrived))
-            caller.leave()
-            await stage.until(lambda: bool(stage.endpoint.finished or stage.endpoint.broken_off))
+            await stage.until(lambda: bool(stage.endpoint.arrived_at))
+            client.leave()
+            await stage.until(lambda: bool(stage.endpoint.finished_at or stage.endpoint.aborted_at))
             await stage.until(lambda: not stage.proxy.carrier.table)
-            assert (len(stage.endpoint.arrived), stage.endpoint.broken_off) == (1, [])
+            assert (len(stage.endpoint.arrived_at), stage.endpoint.aborted_at) == (1, [])
             assert stage.proxy.carrier.idle() == 1
 
     asyncio.run(main())
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -17,7 +17,7 @@
 ID: typing.Final = b"dykeswitch-exchange"
 
 
-class Script:
+class ScriptedStream:
     """A pipe that brings what a script says, whatever is written."""
 
     def __init__(self, *parts: bytes) -> None:
@@ -43,22 +43,22 @@
     return (head + body).encode()
 
 
-async def _ask(connection: connections.EndpointConnection, name: str) -> tuple[int, bytes]:
+async def _send(connection: connections.EndpointConnection, name: str) -> tuple[int, bytes]:
     headers = [(b"host", b"a"), (ID, name.encode())]
     head = await connection.send("POST", b"/x", [*headers, (b"content-length", b"2")], b"hi")
     return head.status, b"".join([part async for part in connection.parts()])
 
 
-def _connection(script: Script) -> connections.EndpointConnection:
+def _connection(script: ScriptedStream) -> connections.EndpointConnection:
     return connections.EndpointConnection("e", "10.0.0.1:1", script, 0.0, ID)
 
 
 def test_a_second_reply_to_an_earlier_exchange_is_passed_over() -> None:
     async def main() -> None:
-        script = Script(_reply("one", "1"), _reply("one", "again") + _reply("two", "2"))
+        script = ScriptedStream(_reply("one", "1"), _reply("one", "again") + _reply("two", "2"))
         connection = _connection(script)
-        assert await _ask(connection, "one") == (200, b"1")
-        assert await _ask(connection, "two") == (200, b"2")
+        assert await _send(connection, "one") == (200, b"1")
+        assert await _send(connection, "two") == (200, b"2")
         # Each request went out once, in one piece.
         assert [part.count(b"POST") for part in script.wrote] == [1, 1]
         assert connection.usable()
@@ -70,19 +70,19 @@
 def test_a_second_reply_may_come_in_pieces(cut: int) -> None:
     async def main() -> None:
         late = _reply("one", "again") + _reply("two", "2")
-        connection = _connection(Script(_reply("one", "1"), late[:cut], late[cut:]))
-        assert await _ask(connection, "one") == (200, b"1")
-        assert await _ask(connection, "two") == (200, b"2")
+        connection = _connection(ScriptedStream(_reply("one", "1"), late[:cut], late[cut:]))
+        assert await _send(connection, "one") == (200, b"1")
+        assert await _send(connection, "two") == (200, b"2")
 
     asyncio.run(main())
 
 
 def test_a_reply_to_an_exchange_that_was_never_here_is_not_ours() -> None:
     async def main() -> None:
-        connection = _connection(Script(_reply("strange", "1")))
-        with pytest.raises(connections.EndpointConnectionError) as flaw:
-            await _ask(connection, "one")
-        assert flaw.value.reason == soundness.OTHERS_REPLY and flaw.value.sent
+        connection = _connection(ScriptedStream(_reply("strange", "1")))
+        with pytest.raises(connections.EndpointConnectionError) as error:
+            await _send(connection, "one")
+        assert error.value.reason == soundness.OTHERS_REPLY and error.value.sent
         assert not connection.usable()
 
     asyncio.run(main())
@@ -90,8 +90,8 @@
 
 def test_bytes_behind_a_whole_reply_end_the_pipe() -> None:
     async def main() -> None:
-        connection = _connection(Script(_reply("one", "1") + _reply("one", "again")))
-        assert await _ask(connection, "one") == (200, b"1")
+        connection = _connection(ScriptedStream(_reply("one", "1") + _reply("one", "again")))
+        assert await _send(connection, "one") == (200, b"1")
         assert not connection.usable()
 
     asyncio.run(main())
@@ -108,10 +108,10 @@
 )
 def test_what_is_no_whole_reply_is_never_one(data: bytes, reason: str) -> None:
     async def main() -> None:
-        connection = _connection(Script(data))
-        with pytest.raises(connections.EndpointConnectionError) as flaw:
-            await _ask(connection, "one")
-        assert (flaw.value.reason, flaw.value.sent) == (reason, True)
+        connection = _connection(ScriptedStream(data))
+        with pytest.raises(connections.EndpointConnectionError) as error:
+            await _send(connection, "one")
+        assert (error.value.reason, error.value.sent) == (reason, True)
         assert not connection.usable()
 
     asyncio.run(main())
@@ -119,8 +119,8 @@
 
 def test_an_endpoints_word_on_idle_pipes_is_learnt() -> None:
     async def main() -> None:
-        connection = _connection(Script(_reply("one", "1", more="Keep-Alive: timeout=7, max=9\r\n")))
-        await _ask(connection, "one")
+        connection = _connection(ScriptedStream(_reply("one", "1", more="Keep-Alive: timeout=7, max=9\r\n")))
+        await _send(connection, "one")
         assert connection.idle_s == 7.0
 
     asyncio.run(main())
@@ -128,8 +128,8 @@
 
 def test_a_parting_reply_ends_the_pipe() -> None:
     async def main() -> None:
-        connection = _connection(Script(_reply("one", "1", more="Connection: close\r\n")))
-        assert await _ask(connection, "one") == (200, b"1")
+        connection = _connection(ScriptedStream(_reply("one", "1", more="Connection: close\r\n")))
+        assert await _send(connection, "one") == (200, b"1")
         assert not connection.usable()
 
     asyncio.run(main())
@@ -184,27 +184,29 @@
 # Selection by the finish to be expected.
 
 
-class Still:
+class ManualClock:
     """A clock that is set."""
 
     def __init__(self) -> None:
-        self.at = 100.0
+        self.time_s = 100.0
 
     def now(self) -> float:
-        return self.at
+        return self.time_s
 
     def wall(self) -> float:
-        return self.at
+        return self.time_s
 
     async def sleep(self, duration_s: float) -> None:
-        self.at += duration_s
+        self.time_s += duration_s
 
 
-def _selector(zones: dict[str, str], name: str = "p") -> tuple[selection.Selector, Still, timelines.Timeline]:
-    clock = Still()
+def _selector(
+    zones: dict[str, str], name: str = "p"
+) -> tuple[selection.Selector, ManualClock, timelines.Timeline]:
+    clock = ManualClock()
     timeline = timelines.Timeline("p", clock, 900.0)
     config = settings.Settings(name=name, zone="near")
-    made = selection.Selector(timeline, timelines.Marks(timeline, 5.0), config, random.Random(1))
+    selector = selection.Selector(timeline, timelines.Marks(timeline, 5.0), config, random.Random(1))
     for n, (endpoint, zone) in enumerate(zones.items()):
         fields: timelines.Fields = {
             "service": "s",
@@ -213,7 +215,7 @@
         }
         fields.update(state="up", born=[n, "r"], slots=2, load=0.0)
         timeline.write(timelines.ENDPOINT, endpoint, fields, 900.0, urgent=False)
-    return made, clock, timeline
+    return selector, clock, timeline
 
 
 def _get(timeline: timelines.Timeline, name: str) -> timelines.Entry:
@@ -222,10 +224,10 @@
     return found
 
 
-def _picked(selector: selection.Selector, aim: float = 0.2, turns: int = 200) -> dict[str, int]:
+def _selected(selector: selection.Selector, aim_s: float = 0.2, count: int = 200) -> dict[str, int]:
     found: dict[str, int] = {}
-    for _ in range(turns):
-        entry = selector.select("s", set(), aim)
+    for _ in range(count):
+        entry = selector.select("s", set(), aim_s)
         assert entry is not None
         found[entry.key] = found.get(entry.key, 0) + 1
     return found
@@ -236,10 +238,10 @@
     for name in ("a", "b"):
         for _ in range(50):
             selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
-    assert set(_picked(selector)) == {"a"}
+    assert set(_selected(selector)) == {"a"}
     for _ in range(8):
         selector.begun("a")
-    assert set(_picked(selector)) == {"b"}
+    assert set(_selected(selector)) == {"b"}
 
 
 def test_the_faster_of_two_gets_more() -> None:
@@ -247,7 +249,7 @@
     for _ in range(60):
         selector.learn(_get(timeline, "a"), 0.03, 0.0, adapters.Load(0, 0, 2))
         selector.learn(_get(timeline, "b"), 0.09, 0.0, adapters.Load(0, 0, 2))
-    found = _picked(selector)
+    found = _selected(selector)
     assert found.get("a", 0) > 190
 
 
@@ -259,9 +261,9 @@
     selector.begun("a")
     selector.learn(_get(timeline, "a"), 0.06, 0.0, adapters.Load(2, 6, 2))
     selector.ended("a")
-    assert set(_picked(selector)) == {"b"}
-    clock.at += 1.0
-    assert set(_picked(selector)) == {"a", "b"}
+    assert set(_selected(selector)) == {"b"}
+    clock.time_s += 1.0
+    assert set(_selected(selector)) == {"a", "b"}
 
 
 def test_one_that_turned_a_request_away_rests_for_a_while() -> None:
@@ -270,9 +272,9 @@
         for _ in range(60):
             selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
     selector.full("a")
-    assert set(_picked(selector)) == {"b"}
-    clock.at += 1.0
-    assert set(_picked(selector)) == {"a", "b"}
+    assert set(_selected(selector)) == {"b"}
+    clock.time_s += 1.0
+    assert set(_selected(selector)) == {"a", "b"}
 
 
 # Selection among a subset.
@@ -318,14 +320,14 @@
             marks.set_down(f"e{n}", "timed out", "p")
 
     asyncio.run(main())
-    assert set(_picked(selector)) == {f"e{n}" for n in range(35, 40)}
+    assert set(_selected(selector)) == {f"e{n}" for n in range(35, 40)}
 
 
 def test_an_endpoint_that_moved_to_another_zone_is_no_longer_near() -> None:
     selector, _, timeline = _selector({"a": "near", "b": "near"})
     moved = {**_get(timeline, "a").fields, "zone": "elsewhere"}
     timeline.write(timelines.ENDPOINT, "a", moved, 900.0, urgent=False)
-    assert set(_picked(selector)) == {"b"}
+    assert set(_selected(selector)) == {"b"}
 
 
 def test_one_failure_sends_a_proxy_to_others_that_are_as_good_for_a_while() -> None:
@@ -334,15 +336,15 @@
         for _ in range(50):
             selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
     selector.failed("a")
-    assert set(_picked(selector)) == {"b"}
+    assert set(_selected(selector)) == {"b"}
     # No more than a preference: once the others' queues cost more, it is asked again.
     for _ in range(6):
         selector.begun("b")
-    assert set(_picked(selector)) == {"a"}
+    assert set(_selected(selector)) == {"a"}
     for _ in range(6):
         selector.ended("b")
-    clock.at += 30.0
-    assert set(_picked(selector)) == {"a", "b"}
+    clock.time_s += 30.0
+    assert set(_selected(selector)) == {"a", "b"}
 
 
 def test_failures_of_all_endpoints_alike_change_nothing() -> None:
@@ -350,4 +352,4 @@
     for _ in range(9):
         selector.failed("a")
         selector.failed("b")
-    assert set(_picked(selector)) == {"a", "b"}
+    assert set(_selected(selector)) == {"a", "b"}
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -53,7 +53,9 @@
 
 def _always_retry(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        carriers.Carrier, "_is_spent", lambda self, exchange: exchange.attempts >= exchange.max_tries
+        carriers.Carrier,
+        "_attempts_exhausted",
+        lambda self, exchange: exchange.attempts >= exchange.max_tries,
     )
     # The budget would hide it: few extra go's are paid for in a day this short.
     _no_budget(patch)
@@ -66,7 +68,9 @@
 def _tries_for_ever(patch: pytest.MonkeyPatch) -> None:
     # Orders are still kept to what holds for them: this is of reading alone.
     patch.setattr(
-        carriers.Carrier, "_is_spent", lambda self, exchange: exchange.writing and exchange.attempts > 0
+        carriers.Carrier,
+        "_attempts_exhausted",
+        lambda self, exchange: exchange.writing and exchange.attempts > 0,
     )
     _no_budget(patch)
 
@@ -76,8 +80,8 @@
 
     async def delivered(self: deliveries.Delivery, exchange: exchanges.Exchange) -> None:
         await deliver(self, exchange)
-        if exchange.head_came and exchange.answer is None:
-            exchange.answer = exchanges.Answer(connections.ResponseHead(200, []), b"", None)
+        if exchange.response_head_received and exchange.response is None:
+            exchange.response = exchanges.Response(connections.ResponseHead(200, []), b"", None)
 
     patch.setattr(deliveries.Delivery, "deliver", delivered)
 
@@ -111,15 +115,15 @@
 
 
 def _always_hint(patch: pytest.MonkeyPatch) -> None:
-    answer = answering.Answering.refuse
+    answer = answering.Responder.refuse
 
     async def hinted(
-        self: answering.Answering, exchange: exchanges.Exchange, failure: outcome.Failure
+        self: answering.Responder, exchange: exchanges.Exchange, failure: outcome.Failure
     ) -> None:
         exchange.retry_after = 1
         await answer(self, exchange, failure)
 
-    patch.setattr(answering.Answering, "refuse", hinted)
+    patch.setattr(answering.Responder, "refuse", hinted)
 
 
 def _forgetful_storage(patch: pytest.MonkeyPatch) -> None:
@@ -173,7 +177,7 @@
 
 
 def _no_last_call(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(proxies.Proxy, "_hurry", lambda self, exchange: None)
+    patch.setattr(proxies.Proxy, "_apply_stop_deadline", lambda self, exchange: None)
 
 
 def _lends_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -213,7 +217,7 @@
 
 
 def _slips_back(patch: pytest.MonkeyPatch) -> None:
-    reads = proxies.Proxy._reads
+    reads = proxies.Proxy._read_document
 
     async def slip(self: proxies.Proxy, name: str, version: int, data: bytes) -> documents.Apply | None:
         old = self.carrier.layout
@@ -230,7 +234,7 @@
 
         return back
 
-    patch.setattr(proxies.Proxy, "_reads", slip)
+    patch.setattr(proxies.Proxy, "_read_document", slip)
 
 
 def _breaks_are_accepted(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -30,7 +30,7 @@
     return None
 
 
-def _receiving(body: bytes, whole: bool = True) -> ports.Receive:
+def _receiver(body: bytes, complete: bool = True) -> ports.Receive:
     """A body in parts of ten bytes; one that is not whole has its caller wait."""
     parts = [body[n : n + 10] for n in range(0, len(body), 10)]
 
@@ -38,28 +38,28 @@
         if not parts:
             await asyncio.sleep(1e6)
         part = parts.pop(0)
-        return {"type": "http.request", "body": part, "more_body": bool(parts) or not whole}
+        return {"type": "http.request", "body": part, "more_body": bool(parts) or not complete}
 
     return receive
 
 
 async def _read(intake: intakes.Intake, size: int) -> tuple[exchanges.Exchange, str]:
     """Read a body; what is wrong with it, if anything."""
-    exchange = intake.exchange(dict(SCOPE), _send)
-    failure = await intake.read(exchange, _receiving(b"x" * size))
+    exchange = intake.new_exchange(dict(SCOPE), _send)
+    failure = await intake.read(exchange, _receiver(b"x" * size))
     return exchange, failure.code.tag if failure is not None else ""
 
 
 def test_a_body_may_be_as_large_as_the_layout_says_and_the_settings_hold_where_it_says_nothing() -> None:
     async def main() -> None:
-        for limits, size, bad in [
+        for limits, size, tag in [
             ({"body_most": 500}, 500, ""),
             ({"body_most": 500}, 501, "body_too_big"),
             ({"body_most": 50}, 51, "body_too_big"),
             ({}, 100, ""),
             ({}, 101, "body_too_big"),
         ]:
-            assert (await _read(_intake(**limits), size))[1] == bad, (limits, size)
+            assert (await _read(_intake(**limits), size))[1] == tag, (limits, size)
 
     asyncio.run(main())
 
@@ -68,14 +68,14 @@
     async def main() -> None:
         intake = _intake(body_most=2000)
         # One alone is taken, however large.
-        alone, bad = await _read(intake, 2000)
-        assert bad == ""
-        late, bad = await _read(intake, 10)
-        assert (bad, late.retry_after) == ("too_busy", intakes.BUSY_RETRY_S)
+        only, tag = await _read(intake, 2000)
+        assert tag == ""
+        second, tag = await _read(intake, 10)
+        assert (tag, second.retry_after) == ("too_busy", intakes.BUSY_RETRY_S)
         # Who was turned away holds nothing once it is over, nor does who was served.
-        intake.release(late)
-        intake.release(alone)
-        intake.release(alone)
+        intake.release(second)
+        intake.release(only)
+        intake.release(only)
         assert (await _read(intake, 10))[1] == ""
 
     asyncio.run(main())
--- a/tests/test_long_failures.py
+++ b/tests/test_long_failures.py
@@ -30,14 +30,14 @@
         stage = scripted.Stage(*endpoints)
         stage.carrier.closing = why == "stopping"
         if why == "its rule is gone":
-            stage.apply_in(between.AMID_THE_FIRST_S, between.GONE["its route is removed"])
-        answer = await stage.ask(coins=0 if why == "no coins" else 50)
-        assert (answer.status, len(answer.body)) == (500, len(BODY))
-        assert answer.body == BODY.encode()
-        assert dict(answer.headers)[b"content-length"] == str(len(BODY)).encode()
+            stage.apply_after(between.DURING_FIRST_ATTEMPT_S, between.WITHOUT_RULE["its route is removed"])
+        response = await stage.send_request(retry_tokens=0 if why == "no coins" else 50)
+        assert (response.status, len(response.body)) == (500, len(BODY))
+        assert response.body == BODY.encode()
+        assert dict(response.headers)[b"content-length"] == str(len(BODY)).encode()
         assert sum(len(endpoint.requests) for endpoint in endpoints) == 1
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_the_last_of_several_long_failures_is_passed_on_whole() -> None:
@@ -45,22 +45,22 @@
 
     async def work() -> None:
         endpoints = _failing(2)
-        answer = await scripted.Stage(*endpoints).ask()
-        assert (answer.status, answer.body) == (500, BODY.encode())
+        response = await scripted.Stage(*endpoints).send_request()
+        assert (response.status, response.body) == (500, BODY.encode())
         assert [len(endpoint.requests) for endpoint in endpoints] == [1, 1]
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_long_failure_gives_way_to_an_endpoint_that_serves() -> None:
     """It costs the read no further try."""
 
     async def work() -> None:
-        endpoints = between.in_turn(list(LONG), count=2)
-        answer = await scripted.Stage(*endpoints).ask()
-        assert (answer.status, answer.body) == (200, b"whole")
+        endpoints = between.sharing_script(list(LONG), count=2)
+        response = await scripted.Stage(*endpoints).send_request()
+        assert (response.status, response.body) == (200, b"whole")
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_long_failure_that_gave_way_in_vain_is_no_answer() -> None:
@@ -74,12 +74,12 @@
             for endpoint in endpoints:
                 endpoint.unreachable = True
 
-        asyncio.get_running_loop().call_later(between.AMID_THE_FIRST_S, become_unreachable)
-        answer = await stage.ask()
-        assert answer.status == 502
-        assert any(key == b"dykeswitch-result" for key, _ in answer.headers)
+        asyncio.get_running_loop().call_later(between.DURING_FIRST_ATTEMPT_S, become_unreachable)
+        response = await stage.send_request()
+        assert response.status == 502
+        assert any(key == b"dykeswitch-result" for key, _ in response.headers)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_long_failure_that_is_cut_breaks_its_callers_connection() -> None:
@@ -87,7 +87,7 @@
 
     async def work() -> None:
         endpoint = scripted.ScriptedEndpoint([*LONG[:2], scripted.RESET])
-        with pytest.raises(answering.BrokenReplyError):
-            await scripted.Stage(endpoint).ask()
+        with pytest.raises(answering.BrokenResponseError):
+            await scripted.Stage(endpoint).send_request()
 
-    scripted.play(work)
+    scripted.run(work)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -40,20 +40,25 @@
             endpoint.plan.fault = fault
 
 
-async def _many(fleet: fleets.SimFleet, service: shapes.ServiceShape, many: int) -> list[clients.Request]:
+async def _send_many(
+    fleet: fleets.SimFleet, service: shapes.ServiceShape, count: int
+) -> list[clients.Request]:
     address = fleet.edges[0].web
-    return list(await asyncio.gather(*(fleet.clients.send_request(service, address) for _ in range(many))))
+    return list(await asyncio.gather(*(fleet.clients.send_request(service, address) for _ in range(count))))
 
 
 def test_overload_is_answered_at_once(tmp_path: pathlib.Path) -> None:
     async def work(fleet: fleets.SimFleet) -> None:
-        asks = await _many(fleet, EXPORTS, 30)
-        away = [a for a in asks if a.result == 104]
+        requests = await _send_many(fleet, EXPORTS, 30)
+        away = [request for request in requests if request.result == 104]
         assert len(away) >= 20
-        assert all(a.status == 503 and a.retry_after and a.ended_at - a.started_at < 0.02 for a in away)
-        assert all(a.status == 200 for a in asks if a.result != 104)
+        assert all(
+            request.status == 503 and request.retry_after and request.ended_at - request.started_at < 0.02
+            for request in away
+        )
+        assert all(request.status == 200 for request in requests if request.result != 104)
         # Nobody who was turned away ran.
-        assert not any(fleet.record.executions.get(a.name) for a in away)
+        assert not any(fleet.record.executions.get(request.name) for request in away)
 
     _run(tmp_path, work, exchanges_most=8)
 
@@ -61,11 +66,13 @@
 def test_a_lost_answer_of_a_write_is_said_to_be_unknown(tmp_path: pathlib.Path) -> None:
     async def work(fleet: fleets.SimFleet) -> None:
         _plan(fleet, "exports", "lose")
-        asks = await _many(fleet, EXPORTS, 10)
-        assert {(a.status, a.result, a.retry_after) for a in asks} == {(502, 108, False)}
-        assert all(len(fleet.record.executions[a.name]) == 1 for a in asks)
+        requests = await _send_many(fleet, EXPORTS, 10)
+        assert {(request.status, request.result, request.retry_after) for request in requests} == {
+            (502, 108, False)
+        }
+        assert all(len(fleet.record.executions[request.name]) == 1 for request in requests)
         # The final answer comes as soon as it is known, not near the expiry.
-        assert max(a.ended_at - a.started_at for a in asks) < 1.0
+        assert max(request.ended_at - request.started_at for request in requests) < 1.0
 
     _run(tmp_path, work)
 
@@ -78,12 +85,14 @@
 
     async def work(fleet: fleets.SimFleet) -> None:
         _plan(fleet, service.name, "run_then_503")
-        asks = await _many(fleet, service, 10)
+        requests = await _send_many(fleet, service, 10)
         # A 503 is taken for a promise: a caller who wrote is told that the outcome is unknown.
-        assert {(a.status, a.result) for a in asks} == {(502, 108) if service.writing else (503, 0)}
+        assert {(request.status, request.result) for request in requests} == {
+            (502, 108) if service.writing else (503, 0)
+        }
         # A reading request that is given up on is told when to come back.
-        assert {a.retry_after for a in asks} == {not service.writing}
-        assert all(fleet.record.executions[a.name] for a in asks)
+        assert {request.retry_after for request in requests} == {not service.writing}
+        assert all(fleet.record.executions[request.name] for request in requests)
 
     _run(tmp_path, work)
 
@@ -92,11 +101,11 @@
     async def work(fleet: fleets.SimFleet) -> None:
         fleet.endpoints["exports-0"].plan.fault = "promise"
         # The first request has the proxy borrow; from then on it may go again.
-        await _many(fleet, EXPORTS, 1)
+        await _send_many(fleet, EXPORTS, 1)
         await asyncio.sleep(2.0)
-        asks = await _many(fleet, EXPORTS, 3)
-        assert [a.status for a in asks] == [200] * 3
-        assert all(len(fleet.record.executions[a.name]) == 1 for a in asks)
+        requests = await _send_many(fleet, EXPORTS, 3)
+        assert [request.status for request in requests] == [200] * 3
+        assert all(len(fleet.record.executions[request.name]) == 1 for request in requests)
 
     _run(tmp_path, work)
 
@@ -105,9 +114,9 @@
     async def work(fleet: fleets.SimFleet) -> None:
         for name in ("exports-0", "exports-1", "exports-2"):
             fleet.kill_endpoint(name)
-        asks = await _many(fleet, EXPORTS, 5)
-        assert {(a.status, a.retry_after) for a in asks} == {(503, True)}
-        assert max(a.ended_at - a.started_at for a in asks) < 1.0
+        requests = await _send_many(fleet, EXPORTS, 5)
+        assert {(request.status, request.retry_after) for request in requests} == {(503, True)}
+        assert max(request.ended_at - request.started_at for request in requests) < 1.0
 
     _run(tmp_path, work)
 
@@ -116,13 +125,13 @@
     async def work(fleet: fleets.SimFleet) -> None:
         fleet.endpoints["pages-0"].plan.fault = "status_502"
         for _ in range(10):
-            await _many(fleet, PAGES, 3)
+            await _send_many(fleet, PAGES, 3)
         page = await fleet.query("who is paused", fleet.cores[0])
         assert page is not None
         assert [(r[0], r[3], r[6]) for r in page["rows"]] == [("pages-0", "answered 502", "mark")]
         # No one but the marked endpoint's fellows is asked while the mark stands.
         arrivals = fleet.endpoints["pages-0"].arrival_count
-        await _many(fleet, PAGES, 20)
+        await _send_many(fleet, PAGES, 20)
         assert fleet.endpoints["pages-0"].arrival_count == arrivals
         fleet.endpoints["pages-0"].plan.fault = "none"
         carrier = fleet.edges[1].node.daemon.carrier
@@ -144,12 +153,12 @@
         name = reply.header("dykeswitch-exchange")
         page = await fleet.query(f"explain exchange {name}", fleet.cores[2])
         assert page is not None
-        told = [(row[1], row[2]) for row in page["rows"]]
-        assert told[0][0] == "POST dykeswitch.test/exports/x"
-        assert "service exports, writing" in told[0][1]
-        assert told[1][0].startswith("selected exports-")
-        assert told[2][0].endswith("failed, sent")
-        assert told[3:] == [
+        steps = [(row[1], row[2]) for row in page["rows"]]
+        assert steps[0][0] == "POST dykeswitch.test/exports/x"
+        assert "service exports, writing" in steps[0][1]
+        assert steps[1][0].startswith("selected exports-")
+        assert steps[2][0].endswith("failed, sent")
+        assert steps[3:] == [
             ("not repeated", "it writes, and may have run"),
             ("answered 502", "108 outcome_unknown: broke off"),
         ]
@@ -158,8 +167,8 @@
     _run(tmp_path, work)
 
 
-def _unsure(patch: pytest.MonkeyPatch) -> None:
-    async def confirm_fresh(self: proxies.Proxy, by: float) -> bool:
+def _without_confirmation(patch: pytest.MonkeyPatch) -> None:
+    async def confirm_fresh(self: proxies.Proxy, deadline: float) -> bool:
         return True
 
     patch.setattr(proxies.Proxy, "confirm_fresh", confirm_fresh)
@@ -174,12 +183,12 @@
 ) -> None:
     """Asked while frozen over a change of layout, it goes by the new one; unguarded it does not."""
     if not guarded:
-        _unsure(monkeypatch)
+        _without_confirmation(monkeypatch)
 
     async def work(fleet: fleets.SimFleet) -> None:
         node = fleet.edges[0].node
         node.freeze()
-        asking = asyncio.create_task(_many(fleet, PAGES, 10))
+        sending = asyncio.create_task(_send_many(fleet, PAGES, 10))
         await asyncio.sleep(0.5)
         if not guarded:
             # No news is faster than the exchanges that wait: chance would else hide it.
@@ -189,10 +198,12 @@
         await fleet.apply(doc)
         await asyncio.sleep(3.0)
         node.thaw()
-        asks = await asking
+        requests = await sending
         fleet.world.links.heal()
         owners = {
-            fleet.endpoints[name].service for _, ask, name in fleet.arrivals if ask in {a.name for a in asks}
+            fleet.endpoints[name].service
+            for _, request_id, name in fleet.arrivals
+            if request_id in {request.name for request in requests}
         }
         assert owners == {"exports"} if guarded else "pages" in owners
 
@@ -219,15 +230,15 @@
             delivery._header_names = dataclasses.replace(delivery._header_names, expected=b"x-nobody")
         for name in ("exports-1", "exports-2"):
             await fleet.drain_endpoint(name, 0.1)
-        assert (await _many(fleet, EXPORTS, 1))[0].status == 200
-        turncoat = fleet.endpoints["exports-0"]
-        turncoat.beating = False
-        turncoat.name, turncoat.service = "others-0", "others"
+        assert (await _send_many(fleet, EXPORTS, 1))[0].status == 200
+        reassigned = fleet.endpoints["exports-0"]
+        reassigned.beating = False
+        reassigned.name, reassigned.service = "others-0", "others"
         await asyncio.sleep(1.0)
-        arrivals = turncoat.arrival_count
-        [ask] = await _many(fleet, EXPORTS, 1)
-        assert (turncoat.arrival_count > arrivals) is not guarded
-        assert ask.status != 200
+        arrivals = reassigned.arrival_count
+        [request] = await _send_many(fleet, EXPORTS, 1)
+        assert (reassigned.arrival_count > arrivals) is not guarded
+        assert request.status != 200
 
     _run(tmp_path, work)
 
@@ -247,14 +258,16 @@
         await fleet.apply(doc)
         await asyncio.sleep(6.0)
         node.thaw()
-        asking = asyncio.create_task(_many(fleet, PAGES, 10))
+        sending = asyncio.create_task(_send_many(fleet, PAGES, 10))
         await asyncio.sleep(0.01)
         fleet.world.links.heal()
-        asks = {a.name for a in await asking}
-        owners = {fleet.endpoints[name].service for _, ask, name in fleet.arrivals if ask in asks}
+        requests = {request.name for request in await sending}
+        owners = {
+            fleet.endpoints[name].service for _, request_id, name in fleet.arrivals if request_id in requests
+        }
         assert owners <= {"exports"}
-        later = await _many(fleet, PAGES, 3)
-        assert [a.status for a in later] == [200] * 3
+        later = await _send_many(fleet, PAGES, 3)
+        assert [request.status for request in later] == [200] * 3
 
     _run(tmp_path, work)
 
@@ -270,13 +283,13 @@
         await asyncio.sleep(4.0)
         node.thaw()
         await fleet.until(lambda: node.daemon.ready() is None, 4.0, "ready by the last list")
-        assert [a.status for a in await _many(fleet, PAGES, 5)] == [200] * 5
+        assert [request.status for request in await _send_many(fleet, PAGES, 5)] == [200] * 5
 
     _run(tmp_path, work)
 
 
 def test_fields_of_one_hop_stay_and_all_others_go_on() -> None:
-    heads = [
+    input_headers = [
         (b"Connection", b"close, X-Mine"),
         (b"x-mine", b"1"),
         (b"Transfer-Encoding", b"chunked"),
@@ -287,7 +300,7 @@
         (b"Content-Encoding", b"gzip"),
     ]
     # Repeated fields stay repeated, in their order; encodings are nobody's business here.
-    assert headers.kept_headers(heads) == heads[4:]
+    assert headers.kept_headers(input_headers) == input_headers[4:]
 
 
 def test_two_runs_of_callers_are_told_apart_in_the_endpoints_books(tmp_path: pathlib.Path) -> None:
@@ -301,18 +314,21 @@
         # Endpoints speak over pipes, as real ones do.
         machine = fleet.outside._replace(web=standins.LightWeb(fleet.outside.net))
         base = await clients.direct(SMALL, machine, addresses, fleet.rng, 5.0)
-        assert all(len(fleet.record.executions[a.name]) == 1 for a in base.requests.values())
+        assert all(len(fleet.record.executions[request.name]) == 1 for request in base.requests.values())
         await fleet.clients.run_traffic(5.0)
-        await _many(fleet, EXPORTS, 30)
+        await _send_many(fleet, EXPORTS, 30)
         figures = clients.summarize(fleet.record, 10.0)
         assert figures["turned_away"] >= 20
         assert figures["replied"] == figures["asked"] - figures["turned_away"] > 100
         assert (figures["run_twice"], figures["told_not_but_ran"]) == (0, 0)
         # Both still count what is so: one more run of each kind shows.
-        told = [a for a in fleet.record.requests.values() if a.writing]
-        for ask in (next(a for a in told if a.status == 200), next(a for a in told if a.status == 503)):
-            again = clients.Execution(ask.name, "exports-0", "exports", fleet.clock.now())
-            fleet.record.executions[ask.name].append(again)
+        writes = [request for request in fleet.record.requests.values() if request.writing]
+        for original in (
+            next(request for request in writes if request.status == 200),
+            next(request for request in writes if request.status == 503),
+        ):
+            again = clients.Execution(original.name, "exports-0", "exports", fleet.clock.now())
+            fleet.record.executions[original.name].append(again)
         figures = clients.summarize(fleet.record, 10.0)
         assert (figures["run_twice"], figures["told_not_but_ran"]) == (1, 1)
 
@@ -337,28 +353,30 @@
         node.thaw()
         span = 10.0 if by_rule else 0.3
         hurried = clients.Clients(SMALL, fleet.outside, [], fleet.record, fleet.rng, span, "hurried-")
-        asks = await asyncio.gather(
+        requests = await asyncio.gather(
             *(hurried.send_request(s, fleet.edges[0].web) for s in (PAGES, EXPORTS) * 3)
         )
-        assert {(a.status, a.result, a.retry_after) for a in asks} == {(504, 112, True)}
-        assert max(a.ended_at - a.started_at for a in asks) < 0.31
-        assert not any(fleet.record.executions.get(a.name) for a in asks)
+        assert {(request.status, request.result, request.retry_after) for request in requests} == {
+            (504, 112, True)
+        }
+        assert max(request.ended_at - request.started_at for request in requests) < 0.31
+        assert not any(fleet.record.executions.get(request.name) for request in requests)
 
     _run(tmp_path, work)
 
 
 def test_a_body_that_does_not_come_is_given_up_on_by_the_expiry(tmp_path: pathlib.Path) -> None:
     async def work(fleet: fleets.SimFleet) -> None:
-        said: list[tuple[float, typing.Any]] = []
+        sent: list[tuple[float, typing.Any]] = []
 
         async def receive() -> dict[str, typing.Any]:
             await asyncio.Event().wait()
             return {"type": "http.disconnect"}
 
         async def send(message: dict[str, typing.Any]) -> None:
-            said.append((fleet.clock.now(), message.get("status")))
+            sent.append((fleet.clock.now(), message.get("status")))
 
-        begun = fleet.clock.now()
+        started_at = fleet.clock.now()
         scope = {
             "type": "http",
             "method": "POST",
@@ -366,8 +384,8 @@
             "headers": [(b"host", b"a"), (b"content-length", b"9"), (b"dykeswitch-expiry-ms", b"300")],
         }
         await fleet.edges[0].node.daemon.gateway(scope, receive, send)
-        assert said[0][1] == 504
-        assert said[0][0] - begun < 0.31
+        assert sent[0][1] == 504
+        assert sent[0][0] - started_at < 0.31
 
     _run(tmp_path, work)
 
@@ -379,15 +397,15 @@
         edge = fleet.edges[0]
         hurried = clients.Clients(SMALL, fleet.outside, [], fleet.record, fleet.rng, 0.002, "hurried-")
         for _ in range(5):
-            asks = await asyncio.gather(*(hurried.send_request(PAGES, edge.web) for _ in range(10)))
-            assert {a.status for a in asks} == {504}
+            requests = await asyncio.gather(*(hurried.send_request(PAGES, edge.web) for _ in range(10)))
+            assert {request.status for request in requests} == {504}
         carrier = edge.node.daemon.carrier
         assert [n for n in fleet.endpoints if carrier._marks.mark_of(n) is not None] == []
         # One that hangs for all the time a probe has is marked as ever.
         _plan(fleet, "pages", "hang")
         for endpoint in fleet.endpoints.values():
             endpoint.plan.probe_too = True
-        await _many(fleet, PAGES, 1)
+        await _send_many(fleet, PAGES, 1)
         assert any(carrier._marks.mark_of(n) is not None for n in fleet.endpoints)
 
     _run(tmp_path, work)
@@ -402,30 +420,32 @@
             endpoint.plan.probe_too = True
         fleet.world.links.slow.update(dict.fromkeys(fleet.endpoints, 0.2))
         hurried = clients.Clients(SMALL, fleet.outside, [], fleet.record, fleet.rng, 0.5, "hurried-")
-        asks = await asyncio.gather(*(hurried.send_request(PAGES, fleet.edges[0].web) for _ in range(10)))
-        assert {(a.status, a.result, a.retry_after) for a in asks} == {(504, 112, True)}
-        assert max(a.ended_at - a.started_at for a in asks) < 0.51
+        requests = await asyncio.gather(*(hurried.send_request(PAGES, fleet.edges[0].web) for _ in range(10)))
+        assert {(request.status, request.result, request.retry_after) for request in requests} == {
+            (504, 112, True)
+        }
+        assert max(request.ended_at - request.started_at for request in requests) < 0.51
 
     _run(tmp_path, work)
 
 
-async def _ask_over_a_cut(fleet: fleets.SimFleet, span: float) -> list[clients.Request]:
+async def _send_during_partition(fleet: fleets.SimFleet, span: float) -> list[clients.Request]:
     """Five who ask while their way to the proxy is closed for a span."""
     links = fleet.world.links
     links.cut(["outside"], [fleet.edges[0].node.name])
-    asking = asyncio.create_task(_many(fleet, EXPORTS, 5))
+    sending = asyncio.create_task(_send_many(fleet, EXPORTS, 5))
     await asyncio.sleep(span)
     links.heal()
-    return await asking
+    return await sending
 
 
 def test_a_caller_whose_way_opens_after_its_expiry_sends_nothing(tmp_path: pathlib.Path) -> None:
     """Who sent all the same would get a late reply, and a late run, that no proxy can prevent."""
 
     async def work(fleet: fleets.SimFleet) -> None:
-        asks = await _ask_over_a_cut(fleet, 10.5)
-        assert [(a.status, a.error[:12]) for a in asks] == [(0, "TimeoutError")] * 5
-        assert not any(fleet.record.executions.get(a.name) for a in asks)
+        requests = await _send_during_partition(fleet, 10.5)
+        assert [(request.status, request.error[:12]) for request in requests] == [(0, "TimeoutError")] * 5
+        assert not any(fleet.record.executions.get(request.name) for request in requests)
 
     _run(tmp_path, work)
 
@@ -435,8 +455,8 @@
 
     async def work(fleet: fleets.SimFleet) -> None:
         _plan(fleet, "exports", "hang")
-        asks = await _ask_over_a_cut(fleet, 4.0)
-        assert {(a.status, a.result) for a in asks} == {(504, 109)}
-        assert max(a.ended_at - a.started_at for a in asks) < 10.1
+        requests = await _send_during_partition(fleet, 4.0)
+        assert {(request.status, request.result) for request in requests} == {(504, 109)}
+        assert max(request.ended_at - request.started_at for request in requests) < 10.1
 
     _run(tmp_path, work)
--- a/tests/test_random_attempts.py
+++ b/tests/test_random_attempts.py
@@ -21,7 +21,7 @@
 EXPIRY_S: typing.Final = scripted.LAYOUT["services"]["s"]["expiry_s"]
 BARE_503: typing.Final = between.FAILURE.replace("500 Broken", "503 Broken")
 SCRIPTS: typing.Final[dict[str, list[str]]] = {
-    **between.FAILED,
+    **between.FAILED_ATTEMPTS,
     "whole": [scripted.WHOLE],
     "busy": [between.BUSY],
     "a failure": [between.FAILURE],
@@ -31,7 +31,11 @@
 }
 # Attempts of these surely did not run.
 NOT_RUN: typing.Final = frozenset({"busy"})
-LAYOUTS: typing.Final = {**between.NONE_MAY_FOLLOW, **between.STILL_ALLOWED, "as it was": scripted.LAYOUT}
+LAYOUTS: typing.Final = {
+    **between.NO_FURTHER_ATTEMPT,
+    **between.FURTHER_ATTEMPT_ALLOWED,
+    "as it was": scripted.LAYOUT,
+}
 # What endpoints answer, whole, by status.
 BODIES: typing.Final = {
     200: {b"whole"},
@@ -45,11 +49,11 @@
     """One request, what its endpoints do, and which layouts come when."""
 
     method: str
-    coins: int
+    retry_tokens: int
     closing: bool
     scripts: list[str]
     work_s: float
-    dial_s: float
+    connect_s: float
     changes: list[tuple[float, str]]
 
     def layout_at(self, at: float) -> dict[str, typing.Any]:
@@ -58,29 +62,31 @@
         return LAYOUTS[names[-1]]
 
 
-def _draw(rng: random.Random) -> Case:
+def _random_case(rng: random.Random) -> Case:
     changes = [
         (rng.uniform(0.0, CHANGES_WITHIN_S), rng.choice(list(LAYOUTS))) for _ in range(rng.randint(0, 3))
     ]
     return Case(
         method=rng.choice(("GET", "GET", "POST")),
-        coins=rng.choice((0, 50, 50)),
+        retry_tokens=rng.choice((0, 50, 50)),
         closing=rng.random() < 0.1,
         scripts=[rng.choice(list(SCRIPTS)) for _ in range(rng.randint(1, 4))],
         work_s=rng.choice((0.01, 0.05, 0.3, 1.0)),
-        dial_s=rng.choice((0.0, 0.0, 0.1)),
+        connect_s=rng.choice((0.0, 0.0, 0.1)),
         changes=sorted(changes),
     )
 
 
 def _rule(layout: dict[str, typing.Any], method: str) -> dict[str, typing.Any] | None:
     """The rule for the request, told apart from the proxy's own matching."""
-    fitting = [rule for rule in layout["rules"] if rule["path"] in ("/", "/thing")]
-    fitting = [rule for rule in fitting if not rule.get("methods") or method in rule["methods"]]
-    return fitting[0] if fitting else None
+    matching = [rule for rule in layout["rules"] if rule["path"] in ("/", "/thing")]
+    matching = [rule for rule in matching if not rule.get("methods") or method in rule["methods"]]
+    return matching[0] if matching else None
 
 
-def _flaws(case: Case, answer: scripted.Answer | None, sent_at: list[float], took_s: float) -> list[str]:
+def _violations(
+    case: Case, response: scripted.Response | None, sent_at: list[float], took_s: float
+) -> list[str]:
     """All that is wrong with what became of a case; no answer where its connection was broken off."""
     found = []
     may_have_run = 0
@@ -95,40 +101,40 @@
             found.append(f"attempt {number} sent at {at:.2f} though it writes and may have run")
         # Where the list is over, endpoints answer as they should.
         may_have_run += number >= len(case.scripts) or case.scripts[number] not in NOT_RUN
-    if answer is None:
+    if response is None:
         # Only an answer whose first part has been passed on, and only by its endpoint or the expiry.
-        cut = "a long failure that is cut" in case.scripts
-        late = "a long failure" in case.scripts and took_s >= EXPIRY_S
-        return found if cut or late else [*found, "broken off"]
-    headers = dict(answer.headers)
-    if headers[b"content-length"] != str(len(answer.body)).encode():
+        may_be_cut = "a long failure that is cut" in case.scripts
+        may_be_late = "a long failure" in case.scripts and took_s >= EXPIRY_S
+        return found if may_be_cut or may_be_late else [*found, "broken off"]
+    headers = dict(response.headers)
+    if headers[b"content-length"] != str(len(response.body)).encode():
         found.append("a length that is not the body's")
-    if b"dykeswitch-result" not in headers and answer.body not in BODIES[answer.status]:
-        found.append(f"{answer.status} with {len(answer.body)} bytes of no endpoint's answer")
+    if b"dykeswitch-result" not in headers and response.body not in BODIES[response.status]:
+        found.append(f"{response.status} with {len(response.body)} bytes of no endpoint's answer")
     # To a read these say nothing of what ran: it may be repeated.
     rule = _rule(case.layout_at(took_s), case.method)
     writes = case.method == "POST" if rule is None else rule.get("writing", case.method == "POST")
-    if writes and may_have_run and answer.status in (404, 503) and b"dykeswitch-result" in headers:
-        found.append(f"{answer.status} for what may have run")
+    if writes and may_have_run and response.status in (404, 503) and b"dykeswitch-result" in headers:
+        found.append(f"{response.status} for what may have run")
     return found
 
 
 async def _play(case: Case) -> list[str]:
-    endpoints = between.in_turn(*(list(SCRIPTS[name]) for name in case.scripts), count=4)
+    endpoints = between.sharing_script(*(list(SCRIPTS[name]) for name in case.scripts), count=4)
     for endpoint in endpoints:
-        endpoint.work_s, endpoint.dial_s = case.work_s, case.dial_s
+        endpoint.work_s, endpoint.connect_s = case.work_s, case.connect_s
     stage = scripted.Stage(*endpoints)
     stage.carrier.closing = case.closing
-    begun = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     for when, name in case.changes:
-        stage.apply_in(when, LAYOUTS[name])
+        stage.apply_after(when, LAYOUTS[name])
     try:
-        answer = await stage.ask(case.method, case.coins)
-    except answering.BrokenReplyError:
-        answer = None
-    took_s = asyncio.get_running_loop().time() - begun
-    sent_at = sorted(at - begun for endpoint in endpoints for at in endpoint.sent_at)
-    return _flaws(case, answer, sent_at, took_s)
+        response = await stage.send_request(case.method, case.retry_tokens)
+    except answering.BrokenResponseError:
+        response = None
+    took_s = asyncio.get_running_loop().time() - started_at
+    sent_at = sorted(at - started_at for endpoint in endpoints for at in endpoint.sent_at)
+    return _violations(case, response, sent_at, took_s)
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -139,9 +145,9 @@
 
     async def work() -> None:
         for _ in range(CASES):
-            case = _draw(rng)
-            if flaws := await _play(case):
-                found.append((case, flaws))
+            case = _random_case(rng)
+            if violations := await _play(case):
+                found.append((case, violations))
 
-    scripted.play(work)
+    scripted.run(work)
     assert found == []
