--- a/tests/scripted.py
+++ b/tests/scripted.py
@@ -1,4 +1,4 @@
-"""A real carrier before endpoints whose connections follow a script; no fleet is needed."""
+"""A real carrier in front of endpoints whose connections follow a script, without a fleet."""
 
 import asyncio
 import dataclasses
@@ -23,31 +23,31 @@
     "services": {"s": {"probe": "/healthz", "expiry_s": 5, "max_tries": 3}},
     "rules": [{"path": "/", "service": "s"}],
 }
-# In place of `{id}` comes the id of the request that is answered.
+# `{id}` is replaced by the id of the request that is answered.
 WHOLE: typing.Final = "HTTP/1.1 200 OK\r\nDykeswitch-Exchange: {id}\r\nContent-Length: 5\r\n\r\nwhole"
-# What a script may hold besides text: the endpoint resets the connection, or says nothing.
+# Script entries other than text: the endpoint resets the connection, or sends nothing more.
 RESET: typing.Final = "<reset>"
 SILENT: typing.Final = "<silent>"
 
 
 class LoopClock:
-    """The running loop's time."""
+    """A clock that shows the running loop's time."""
 
     def now(self) -> float:
-        """Seconds of the loop."""
+        """Return the loop's time in seconds."""
         return asyncio.get_running_loop().time()
 
     def wall(self) -> float:
-        """The same seconds: there is no other clock."""
+        """Return the same time, as there is no other clock."""
         return self.now()
 
     async def sleep(self, duration_s: float) -> None:
-        """Wait for so many seconds of the loop."""
+        """Wait for a number of seconds of the loop's time."""
         await asyncio.sleep(duration_s)
 
 
 class ScriptedConnection:
-    """A connection whose endpoint answers each request with the next entry of a script."""
+    """A connection whose endpoint answers each request with the next entry of its script."""
 
     def __init__(self, endpoint: "ScriptedEndpoint") -> None:
         self._endpoint = endpoint
@@ -56,7 +56,11 @@
         self._used = asyncio.get_running_loop().time()
 
     async def write(self, data: bytes) -> None:
-        """Take a request in; raises `ConnectionResetError` after a rest that the endpoint forgets."""
+        """Receive a request.
+
+        Raises:
+            ConnectionResetError: The connection was idle for longer than the endpoint keeps it.
+        """
         now = asyncio.get_running_loop().time()
         idle_s, self._used = now - self._used, now
         if idle_s > self._endpoint.idle_reset_s:
@@ -69,7 +73,7 @@
         self._coming += [part.replace("{id}", name) for part in response]
 
     async def read(self, max_bytes: int) -> bytes:
-        """The next part of the answer, after the time that it takes."""
+        """Return the next part of the response, after the time it takes."""
         await asyncio.sleep(self._endpoint.work_s)
         if not self._coming:
             return b""
@@ -81,41 +85,41 @@
         return part.encode("latin-1")
 
     def close(self) -> None:
-        """Close it for good."""
+        """Close the connection."""
         self._closed = True
 
     def ended(self) -> bool:
-        """Whether it is closed, or holds an answer that nobody asked for."""
+        """Return whether the connection is closed or has unread data that belongs to no request."""
         return self._closed or bool(self._coming)
 
 
 class ScriptedEndpoint:
-    """What one endpoint answers to one request after another, and what it was sent."""
+    """An endpoint that answers successive requests by a script and records what it was sent."""
 
     def __init__(self, *script: list[str]) -> None:
         self.script = list(script)
         self.requests: list[bytes] = []
-        # When each of them came, in seconds of the loop.
+        # When each request arrived, in seconds of the loop's time.
         self.sent_at: list[float] = []
         self.connect_count = 0
-        # How long each part of an answer takes, in seconds.
+        # How long each part of a response takes, in seconds.
         self.work_s = 0.05
-        # How long it takes to connect to it, in seconds.
+        # How long connecting takes, in seconds.
         self.connect_s = 0.0
-        # Whether nothing comes of connecting to it.
+        # Whether attempts to connect time out.
         self.unreachable = False
-        # After which rest it resets a connection that is used again.
+        # The idle time in seconds after which a connection is reset when it is used again.
         self.idle_reset_s = math.inf
 
 
 class ScriptedNetwork:
-    """Leads to scripted endpoints by their addresses."""
+    """A network that connects to scripted endpoints by address."""
 
     def __init__(self, endpoints: dict[str, ScriptedEndpoint]) -> None:
         self._endpoints = endpoints
 
     async def connect(self, address: str, timeout_s: float) -> ports.Connection:
-        """Connect to an endpoint; raises `TimeoutError` where it is unreachable."""
+        """Connect to an endpoint; raises `TimeoutError` if it is unreachable."""
         endpoint = self._endpoints[address]
         endpoint.connect_count += 1
         if endpoint.unreachable:
@@ -125,33 +129,33 @@
         return ScriptedConnection(endpoint)
 
     async def listen(self, address: str, serve: ports.Serve) -> ports.Listener:
-        """Nobody listens here."""
+        """Not supported."""
         raise NotImplementedError
 
 
 class HealthyFleetStatus:
-    """A proxy that is sure of what it holds and has extra go's to spend."""
+    """A proxy whose state is confirmed and which may make extra attempts."""
 
     async def confirm_fresh(self, deadline: float) -> bool:
-        """It is sure at once."""
+        """Report at once that the state is current."""
         return True
 
     def clock_jumped(self) -> bool:
-        """It was never frozen."""
+        """Report no gap in the clock."""
         return False
 
     def silence_s(self) -> float:
-        """It hears others all the time."""
+        """Report that other nodes are heard all the time."""
         return 0.0
 
     def borrowing_since(self) -> float | None:
-        """It shares the budget with nobody."""
+        """Report that it has borrowed since the start."""
         return 0.0
 
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """What a caller got."""
+    """The response a client received."""
 
     status: int = 0
     body: bytes = b""
@@ -159,7 +163,7 @@
 
 
 class Stage:
-    """A carrier before some scripted endpoints of one service."""
+    """A carrier in front of scripted endpoints of one service."""
 
     def __init__(self, *endpoints: ScriptedEndpoint) -> None:
         clock = LoopClock()
@@ -182,17 +186,17 @@
         self._request_count = 0
 
     def apply(self, doc: typing.Any) -> None:
-        """Put a layout in force."""
+        """Apply a layout."""
         checked = layouts.check(doc)
         assert isinstance(checked, outcome.Success)
         self.carrier.layout = checked.value
 
     def apply_after(self, delay_s: float, doc: typing.Any) -> None:
-        """Put a layout in force after some seconds, amid what is at work then."""
+        """Apply a layout after a delay, during the requests in progress then."""
         asyncio.get_running_loop().call_later(delay_s, self.apply, doc)
 
     async def send_request(self, method: str = "GET", retry_tokens: int = 50) -> Response:
-        """One request of one caller, with so much of the shared budget in hand."""
+        """Send one client's request, with a number of retry tokens available."""
         response = Response()
 
         async def send(message: typing.Any) -> None:
@@ -213,14 +217,14 @@
             requested_timeout_s=None,
             send=send,
         )
-        # Coins of the shared budget, as registries would have lent them.
+        # Tokens of the shared budget, as registries would have lent them.
         self.carrier._delivery.budget("s").lend(0, retry_tokens, self._clock.now() + 60)
         await self.carrier.process(exchange)
         return response
 
 
 def run(work: typing.Callable[[], typing.Awaitable[None]]) -> None:
-    """Run a test's work on virtual time."""
+    """Run a test's work in virtual time."""
 
     async def main() -> None:
         await work()
--- a/tests/test_between_attempts.py
+++ b/tests/test_between_attempts.py
@@ -1,6 +1,6 @@
-"""What becomes of a request whose rule changes while an attempt is at work, and how its last attempt is told.
+"""Requests whose rule changes while an attempt is in progress.
 
-The rule of the moment decides about the next attempt; what the earlier ones came to decides the answer.
+The current rule decides about the next attempt; the results of the earlier attempts decide the response.
 """
 
 import typing
@@ -9,7 +9,7 @@
 import scripted
 
 SERVICE: typing.Final = {"probe": "/healthz", "expiry_s": 5, "max_tries": 3}
-# While the first attempt is at work: each part of a scripted answer takes 0.05 s.
+# During the first attempt: each part of a scripted response takes 0.05 s.
 DURING_FIRST_ATTEMPT_S: typing.Final = 0.02
 
 
@@ -47,7 +47,7 @@
 
 
 def sharing_script(*script: list[str], count: int = 3) -> list[scripted.ScriptedEndpoint]:
-    """Endpoints that follow one script between them, whichever is asked first."""
+    """Create endpoints that share one script, whichever is selected first."""
     endpoints = [scripted.ScriptedEndpoint() for _ in range(count)]
     shared = list(script)
     for endpoint in endpoints:
@@ -60,7 +60,7 @@
 def test_the_head_of_a_failed_attempt_is_no_answer_once_its_rule_is_gone(
     script: list[str], layout: dict[str, typing.Any]
 ) -> None:
-    """A read whose route went while it was fetched got a 200 without a body (review, case 1)."""
+    """A read whose route was removed during the attempt got a 200 without a body (review, case 1)."""
 
     async def work() -> None:
         endpoints = [scripted.ScriptedEndpoint(list(script)) for _ in range(2)]
@@ -69,7 +69,7 @@
         response = await stage.send_request()
         assert response.status == (504 if scripted.SILENT in script else 502)
         assert any(key == b"dykeswitch-result" for key, _ in response.headers)
-        # It may be running still: nobody is to be told when to come again.
+        # The request may still be running, so the client gets no Retry-After.
         assert not any(key == b"retry-after" for key, _ in response.headers)
         assert _sent_count(endpoints) == 1
         assert stage.carrier.counts["rules_gone_between_attempts"] == 1
@@ -78,7 +78,7 @@
 
 
 def test_a_refusal_by_promise_does_not_hide_an_earlier_attempt_whose_end_is_unknown() -> None:
-    """A read broken off and then turned away was told, by its last endpoint's words, that nothing ran."""
+    """A read that was cut off and then refused got the last endpoint's promise that nothing ran."""
 
     async def work() -> None:
         endpoints = sharing_script([WHOLE[:-2], scripted.RESET], [BUSY])
@@ -92,7 +92,7 @@
 
 
 def test_a_whole_failure_is_the_answer_though_its_rule_is_gone() -> None:
-    """The endpoint ran the request while its route was there, and its word is whole."""
+    """The endpoint ran the request while its route existed, and its response is complete."""
 
     async def work() -> None:
         endpoints = [scripted.ScriptedEndpoint([FAILURE]) for _ in range(2)]
@@ -105,7 +105,7 @@
 
 
 def test_a_request_that_nobody_ran_is_told_that_its_rule_is_gone() -> None:
-    """All that was sent came back with the promise that it had not run: the layout's word is the answer."""
+    """All attempts were refused with the promise that nothing ran, so the layout decides the response."""
 
     async def work() -> None:
         endpoints = [scripted.ScriptedEndpoint([BUSY]) for _ in range(2)]
@@ -128,12 +128,12 @@
 def test_an_attempt_goes_on_to_its_end_where_the_newest_rule_lets_none_follow(
     layout: dict[str, typing.Any],
 ) -> None:
-    """A slow read was broken off for another try that its changed route did not allow, and answered 504."""
+    """A slow read was aborted for another attempt that its changed route did not allow, and got a 504."""
 
     async def work() -> None:
         endpoints = [scripted.ScriptedEndpoint() for _ in range(2)]
         for endpoint in endpoints:
-            # Longer than a third of 5 s, after which it would give way to the next of three tries.
+            # Longer than a third of 5 s, after which it would give way to the next of three attempts.
             endpoint.work_s = 2.5
         stage = scripted.Stage(*endpoints)
         stage.apply_after(DURING_FIRST_ATTEMPT_S, layout)
@@ -155,7 +155,7 @@
 def test_an_attempt_still_gives_way_where_the_newest_rule_lets_another_follow(
     layout: dict[str, typing.Any],
 ) -> None:
-    """The other side of the bound above: a change that leaves the request its way costs it no try."""
+    """Counterpart of the test above: a change that still allows the request costs it no attempt."""
 
     async def work() -> None:
         endpoints = sharing_script([scripted.SILENT], count=2)
@@ -182,18 +182,18 @@
 def test_what_may_have_run_is_not_sent_again_under_a_rule_that_writes(
     script: list[str], connect_s: float
 ) -> None:
-    """A read that had run was sent once more after a change made its route one of orders."""
+    """A read that may have run was sent again after a change made its route a writing one."""
 
     async def work() -> None:
         endpoints = sharing_script(list(script))
         for endpoint in endpoints:
             endpoint.connect_s = connect_s
         stage = scripted.Stage(*endpoints)
-        # With 0.2 s to connect the first attempt is over after 0.3 s, and the next goes off after 0.4 s.
+        # With 0.2 s to connect, the first attempt ends after 0.3 s and the next is sent after 0.4 s.
         stage.apply_after(0.35 if connect_s else DURING_FIRST_ATTEMPT_S, WRITES_NOW)
         response = await stage.send_request()
         assert _sent_count(endpoints) == 1
-        # Nothing that a caller could take for "it did not run: send it again".
+        # The client must not be able to take the response for "it did not run: send it again".
         assert response.status in (500, 502)
         assert not any(key == b"retry-after" for key, _ in response.headers)
 
@@ -201,12 +201,12 @@
 
 
 def test_a_later_promise_takes_nothing_back_under_a_rule_that_writes() -> None:
-    """What one endpoint ran and another turned away was told as not run, once its route was one of orders."""
+    """A request that one endpoint ran and another refused was reported as not run on a writing route."""
 
     async def work() -> None:
         endpoints = sharing_script([FAILURE], [BUSY])
         stage = scripted.Stage(*endpoints)
-        # While the second attempt is at work.
+        # During the second attempt.
         stage.apply_after(0.07, WRITES_NOW)
         response = await stage.send_request()
         assert (response.status, _sent_count(endpoints)) == (502, 2)
@@ -216,7 +216,7 @@
 
 
 def test_what_surely_did_not_run_is_sent_again_under_a_rule_that_writes() -> None:
-    """The other side of the bound above: a promise holds under any rule."""
+    """Counterpart of the test above: a promise that nothing ran is valid under any rule."""
 
     async def work() -> None:
         endpoints = sharing_script([BUSY])
@@ -230,7 +230,7 @@
 
 @pytest.mark.parametrize("connect_s", [0.0, 0.2], ids=["while it is at work", "while the next one connects"])
 def test_no_more_endpoints_are_tried_than_the_newest_rule_allows(connect_s: float) -> None:
-    """A read was sent to a second endpoint after a change had cut its tries to one."""
+    """A read was sent to a second endpoint after a change had limited it to one attempt."""
 
     async def work() -> None:
         endpoints = sharing_script([scripted.RESET])
--- a/tests/test_connection_limits.py
+++ b/tests/test_connection_limits.py
@@ -1,4 +1,4 @@
-"""How long callers may take over a request's head and rest between two, on real sockets."""
+"""Timeouts for request heads and idle connections of clients, on real sockets."""
 
 import asyncio
 import contextlib
@@ -12,16 +12,16 @@
 
 GET: typing.Final = b"GET / HTTP/1.1\r\nHost: a.test\r\n\r\n"
 ANSWER: typing.Final = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
-# A limit that ends a test soon, and one that no test waits for, in seconds.
+# A timeout that a test waits for, and one that no test reaches, in seconds.
 SHORT_S: typing.Final = 0.3
 LONG_S: typing.Final = 30.0
 MAX_HEAD_BYTES: typing.Final = 100_000
-# How late a timer of a busy machine may be.
+# How late a timer may fire on a busy machine.
 TIMER_TOLERANCE_S: typing.Final = 2.0
 
 
 class LimitedServer:
-    """An application behind limits that a test may change."""
+    """An application served with limits that a test may change."""
 
     def __init__(self, head_s: float, idle_s: float) -> None:
         self.limits = ports.ConnectionLimits(MAX_HEAD_BYTES, head_s, idle_s)
@@ -46,7 +46,7 @@
 
 
 async def _closed_after(reader: asyncio.StreamReader) -> tuple[float, bytes]:
-    """After how many seconds the server closed the connection, and what it said until then."""
+    """Return after how many seconds the server closed the connection, and what it sent until then."""
     started_at = asyncio.get_running_loop().time()
     async with asyncio.timeout(SHORT_S + TIMER_TOLERANCE_S):
         received = await reader.read()
@@ -73,14 +73,14 @@
         async with limited_server.client() as (reader, writer):
             writer.write(GET)
             await reader.readexactly(len(ANSWER))
-            # The limit grows while the connection rests.
+            # The limit is raised while the connection is idle.
             limited_server.limits = ports.ConnectionLimits(MAX_HEAD_BYTES, LONG_S, 4 * SHORT_S)
             duration_s, _ = await _closed_after(reader)
             assert duration_s > 4 * SHORT_S * 0.9
         async with limited_server.client() as (reader, writer):
             writer.write(GET)
             await reader.readexactly(len(ANSWER))
-            # The limit shrinks: who took the connection for kept may use it all the same.
+            # The limit is lowered: a client that relied on the old limit may still use the connection.
             limited_server.limits = ports.ConnectionLimits(MAX_HEAD_BYTES, LONG_S, SHORT_S / 10)
             await asyncio.sleep(SHORT_S)
             writer.write(GET)
@@ -111,7 +111,7 @@
             writer.write(GET[:20])
 
             async def trickle() -> None:
-                # One byte after another gives it no more time.
+                # Sending single bytes does not extend the timeout.
                 for n in range(20, len(GET) - 1):
                     writer.write(GET[n : n + 1])
                     await asyncio.sleep(SHORT_S / 10)
--- a/tests/test_data_path.py
+++ b/tests/test_data_path.py
@@ -1,4 +1,4 @@
-"""What a proxy makes of endpoints that answer oddly, end early or fall silent, and of pipelining."""
+"""Endpoints that answer unexpectedly, end early or hang; and clients that use pipelining."""
 
 import asyncio
 import math
@@ -75,7 +75,7 @@
         response = await stage.send_request("POST")
         assert response.status == (504 if scripted.SILENT in script else 502)
         assert b"whole" not in response.body
-        # Nothing that a caller could take for "it did not run: send it again".
+        # The client must not be able to take the response for "it did not run: send it again".
         assert not any(key == b"retry-after" for key, _ in response.headers)
         assert sum(len(endpoint.requests) for endpoint in endpoints) == 1
 
@@ -95,7 +95,7 @@
 
 
 def test_a_late_answer_goes_to_nobody_once_its_caller_was_told() -> None:
-    """The first caller's answer comes after its time: the next one's must not be it."""
+    """The first client's response arrives after its deadline and must not be sent to the next client."""
 
     async def work() -> None:
         late = scripted.WHOLE.replace("{id}", "x1").replace("whole", "later")
@@ -104,7 +104,7 @@
         assert (await stage.send_request("POST")).status == 504
         response = await stage.send_request("POST")
         assert (response.status, response.body) == (200, b"whole")
-        # On another connection: what comes on the first belongs to nobody.
+        # A second connection is used, because what arrives on the first belongs to no request.
         assert endpoint.connect_count == 2
 
     scripted.run(work)
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize("why", ["no coins", "stopping", "no other endpoint", "another can be made"])
 def test_an_attempt_is_broken_off_only_where_another_can_be_made(why: str) -> None:
     async def work() -> None:
-        # Longer than the part of the time that one attempt has (a third of 5 s), shorter than all of it.
+        # Longer than one attempt's share of the time (a third of 5 s), but shorter than all of it.
         slow, other = scripted.ScriptedEndpoint(), scripted.ScriptedEndpoint()
         slow.work_s = other.work_s = 2.5
         stage = scripted.Stage(slow) if why == "no other endpoint" else scripted.Stage(slow, other)
@@ -134,7 +134,7 @@
 
 @pytest.mark.parametrize("status", ["200 OK", "404 Not Found", "500 Oops"])
 def test_an_answer_without_an_id_where_others_had_one_is_nobodys(status: str) -> None:
-    """A surplus answer that names no exchange came in the place of the next one's."""
+    """A surplus response without an exchange id was taken for the response to the next request."""
 
     async def work() -> None:
         endpoint = scripted.ScriptedEndpoint([scripted.WHOLE], [_unsigned("stray", status), scripted.WHOLE])
@@ -170,14 +170,14 @@
 
 
 def test_an_endpoint_that_fails_now_and_then_gets_few_requests_from_one_proxy() -> None:
-    """It fails too seldom, as one proxy of many sees it, to be marked by that proxy."""
+    """The endpoint fails too seldom, as seen by one proxy of many, to be marked by that proxy."""
 
     async def work() -> None:
         grey, healthy = (
             scripted.ScriptedEndpoint(*[[scripted.WHOLE], [scripted.RESET]] * 100),
             scripted.ScriptedEndpoint(),
         )
-        # Where it does answer it is the better one.
+        # When it does answer, it is the faster one.
         grey.work_s = 0.04
         stage = scripted.Stage(grey, healthy)
         for entry, mean_s in zip(stage.carrier.selector.up("s"), (0.04, 0.05)):
@@ -193,20 +193,20 @@
 
 
 def test_writes_are_not_lost_again_and_again_to_connections_that_were_forgotten() -> None:
-    """Idle connections are reset when they are used, long before the time that was told."""
+    """Idle connections are reset when they are used, long before the announced time."""
 
     async def work() -> None:
         endpoint = scripted.ScriptedEndpoint()
         endpoint.idle_reset_s = 0.3
         stage = scripted.Stage(endpoint)
-        answers = []
+        responses = []
         for _ in range(40):
-            answers.append(await stage.send_request("POST"))
+            responses.append(await stage.send_request("POST"))
             await asyncio.sleep(0.5)
-        lost = [response for response in answers if response.status != 200]
-        # One shows it; what it taught is tried again after a while, since it may be over.
+        lost = [response for response in responses if response.status != 200]
+        # The first loss shows it; the limit it sets expires after a while, since the cause may be gone.
         assert len(lost) <= 4
-        # Once it is over connections are used again.
+        # Once the cause is gone, connections are reused again.
         endpoint.idle_reset_s = math.inf
         await asyncio.sleep(5.0)
         connect_count = endpoint.connect_count
@@ -219,7 +219,7 @@
 
 
 def test_a_proxy_whose_own_link_is_full_marks_no_endpoints() -> None:
-    """Right after its start no connection comes up in time: that says nothing of the endpoints."""
+    """Right after the proxy's start all connections time out, which says nothing about the endpoints."""
 
     async def work() -> None:
         endpoints = [scripted.ScriptedEndpoint() for _ in range(12)]
@@ -248,11 +248,11 @@
     scripted.run(work)
 
 
-# HTTP pipelining by a client, on the web server that proxies use.
+# HTTP pipelining by clients, on the web server that proxies use.
 
 
 async def _pipelined(app: ports.App, paths: typing.Sequence[str]) -> bytes:
-    """Send requests in one piece on one connection; all that comes back until it ends."""
+    """Send requests in one write on one connection; return everything received until it closes."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
@@ -270,7 +270,7 @@
 
 
 def _bodies(data: bytes) -> list[bytes]:
-    """The bodies of the answers, each of which is the path that was asked for."""
+    """Return the bodies of the responses, each of which is the requested path."""
     return [part.partition(b"\r\n\r\n")[2] for part in data.split(b"HTTP/1.1 ")[1:]]
 
 
@@ -289,7 +289,7 @@
         nonlocal most
         at_work.append(str(scope["path"]))
         most = max(most, len(at_work))
-        # The first is the slowest: who answered as they finish would answer the last one first.
+        # The first is the slowest: a server that answered in order of completion would answer it last.
         await asyncio.sleep(0.2 if scope["path"] == "/one" else 0.0)
         await _answer_with_path(scope, send)
         at_work.remove(str(scope["path"]))
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,7 +1,7 @@
-"""Callers that leave before they are answered: nothing goes on for them that need not.
+"""Clients that disconnect before they are answered: work for them stops if possible.
 
-Proxies here are real ones on loopback sockets, before endpoints that follow a script; no
-registry is needed, and a fleet of whole programs is played in `test_days.py`.
+The proxies are real and serve on loopback sockets, in front of scripted endpoints and without a
+registry. `test_days.py` covers fleets of whole programs.
 """
 
 import asyncio
@@ -30,21 +30,21 @@
     "rules": [{"path": "/", "service": "s"}],
 }
 GET: typing.Final = b"GET /thing HTTP/1.1\r\nHost: a.test\r\n\r\n"
-# How long an endpoint works on a request that nobody breaks off, and how soon a departure is to
-# have its effect, in seconds.
+# How long an endpoint works on a request that is not aborted, and how soon a disconnection has to take
+# effect, in seconds.
 WORK_S: typing.Final = 1.5
 SOON_S: typing.Final = 0.2
 
 
 class Endpoint:
-    """One endpoint on a loopback port: answers after its work, and tells which runs were broken off."""
+    """An endpoint on a loopback port that answers after its work and records aborted requests."""
 
     def __init__(self) -> None:
         self.work_s = WORK_S
         self.arrived_at: list[float] = []
         self.finished_at: list[float] = []
         self.aborted_at: list[float] = []
-        # Parts of an answer that streams, one each `work_s`; none for an answer at once.
+        # Parts of a streamed response, one each `work_s`; zero for a response in one piece.
         self.parts = 0
         self.head = "HTTP/1.1 200 OK"
 
@@ -82,7 +82,7 @@
 
 
 class Stage:
-    """A proxy that serves on a loopback port, before endpoints of one service."""
+    """A proxy on a loopback port, in front of endpoints of one service."""
 
     def __init__(self, endpoints: int = 1) -> None:
         self.endpoints = [Endpoint() for _ in range(endpoints)]
@@ -93,7 +93,7 @@
         machine = real.machine()
         log = logs.Log("proxy", "p", "error", machine.clock)
         self.proxy = proxies.Proxy(config, machine, log, random.Random(1))
-        # Nobody lends it extra attempts here: it has its own.
+        # No registry lends it extra attempts here, so it starts with its own.
         self.proxy.borrowing_since = lambda: 0.0  # type: ignore[method-assign]
         for n, address in enumerate(self.addresses):
             fields: timelines.Fields = {"service": "s", "address": address, "zone": "z"}
@@ -122,7 +122,7 @@
         await self._stack.aclose()
 
     async def _tick(self) -> None:
-        """Other nodes are heard all the time, and the clock shows no gap."""
+        """Simulate that other nodes are heard all the time and that the clock has no gap."""
         while True:
             self.proxy._last_tick_at = self.proxy.gossip.last_heard_at = self.proxy.clock.now()
             await asyncio.sleep(0.02)
@@ -148,14 +148,14 @@
 
 
 class Client:
-    """One connection of a caller, which may leave at any moment."""
+    """A client's connection, which the client may close at any time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
     def leave(self, reset: bool = False) -> None:
-        """Close the connection, in order or by a reset."""
+        """Close the connection, gracefully or by a reset."""
         if reset:
             sock = self.writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -195,7 +195,7 @@
             await stage.until(lambda: len(stage.endpoint.arrived_at) == 1)
             client.leave()
             await stage.until(lambda: "callers_left_at_work" in stage.counts)
-            # An answer that is whole, and a connection that is closed after it, is no departure.
+            # Closing the connection after a complete response is not counted as a disconnection.
             stage.endpoint.work_s = 0.01
             second = await stage.connect(GET)
             assert (await second.read_response()).startswith(b"HTTP/1.1 200")
@@ -213,7 +213,7 @@
 
 
 async def _behind_another(stage: Stage) -> Client:
-    """On a kept connection, behind a request that is answered."""
+    """On a kept connection, after a request that was answered."""
     stage.endpoint.work_s = 0.01
     client = await stage.connect(GET)
     assert (await client.read_response()).startswith(b"HTTP/1.1 200")
@@ -225,12 +225,12 @@
 
 
 async def _before_another(stage: Stage) -> Client:
-    """With a second request already sent behind it, which the web server leaves unread for now."""
+    """With a second request already pipelined, which the web server leaves unread for now."""
     return await stage.connect(GET + GET)
 
 
 async def _then_another(stage: Stage) -> Client:
-    """With a second request that comes while the first is at work."""
+    """With a second request that arrives while the first is in progress."""
     client = await stage.connect(GET)
     await stage.until(lambda: bool(stage.endpoint.arrived_at))
     client.writer.write(GET)
@@ -239,7 +239,7 @@
 
 
 async def _with_a_long_body(stage: Stage) -> Client:
-    """A body that the web server takes in parts."""
+    """With a body that the web server receives in parts."""
     body = b"x" * 400_000
     return await stage.connect(
         b"GET /thing HTTP/1.1\r\nHost: a.test\r\nContent-Length: 400000\r\n\r\n" + body
@@ -247,10 +247,10 @@
 
 
 async def _amid_the_answer(stage: Stage) -> Client:
-    """An answer that streams, of which the caller has had a part."""
+    """During a streamed response, of which the client has received a part."""
     stage.endpoint.parts, stage.endpoint.work_s = 40, 0.1
     client = await stage.connect(GET)
-    # More than the proxy holds back: the rest of it streams.
+    # Part of a response that is longer than the proxy's buffer, so that the rest is streamed.
     await client.reader.readexactly(300_000)
     return client
 
@@ -288,7 +288,7 @@
             await stage.until(lambda: bool(stage.endpoint.aborted_at or stage.endpoint.finished_at))
             assert len(stage.endpoint.aborted_at) == 1
             assert stage.endpoint.aborted_at[0] - left_at < SOON_S
-            # No second try, no mark, and nothing that is still counted.
+            # No second attempt, no mark, and nothing left in the tables.
             await asyncio.sleep(0.05)
             assert len(stage.endpoint.arrived_at) == 1
             assert stage.proxy.carrier._marks.mark_of("e0") is None
@@ -299,13 +299,13 @@
 
 
 async def _between_two_tries(stage: Stage) -> None:
-    """Each endpoint takes a while to say that it does not run the request."""
+    """Have each endpoint refuse the request with a promise after some time."""
     for endpoint in stage.endpoints:
         endpoint.head = "HTTP/1.1 503 Busy\r\nDykeswitch-Promise: not-run"
 
 
 async def _unconfirmed(stage: Stage) -> None:
-    """The proxy has first to become sure of its configuration."""
+    """Have the proxy first confirm its state."""
     original = stage.proxy.confirm_fresh
 
     async def confirm_fresh(deadline: float) -> bool:
@@ -316,7 +316,7 @@
 
 
 async def _connecting(stage: Stage) -> None:
-    """The connection to the endpoint takes its time."""
+    """Delay connecting to the endpoint."""
     net = stage.proxy.machine.net
     connect = net.connect
 
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""What a proxy learns of endpoints, and how it tells replies apart; no fleet needed."""
+"""Matching of responses to requests, strikes and selection, without a fleet."""
 
 import asyncio
 import collections
@@ -18,7 +18,7 @@
 
 
 class ScriptedStream:
-    """A pipe that brings what a script says, whatever is written."""
+    """A connection that returns scripted data, whatever is written."""
 
     def __init__(self, *parts: bytes) -> None:
         self.parts = list(parts)
@@ -59,7 +59,7 @@
         connection = _connection(script)
         assert await _send(connection, "one") == (200, b"1")
         assert await _send(connection, "two") == (200, b"2")
-        # Each request went out once, in one piece.
+        # Each request was sent once, in a single write.
         assert [part.count(b"POST") for part in script.wrote] == [1, 1]
         assert connection.usable()
 
@@ -135,7 +135,7 @@
     asyncio.run(main())
 
 
-# Which failures earn a mark.
+# Failures that lead to a mark.
 
 
 def test_a_row_of_soft_failures_marks_and_a_reply_ends_the_row() -> None:
@@ -153,7 +153,7 @@
     strikes = soundness.Strikes(5.0)
     fault = soundness.flaw_fault(soundness.TIMED_OUT)
     marked = False
-    # Four in ten fail, never two in a row.
+    # Four of ten requests fail, never two in a row.
     for n in range(20):
         now = n * 0.1
         if n % 5 in (0, 2):
@@ -173,7 +173,7 @@
             marks += strikes.strike("e", fault, n * 0.06)
         else:
             strikes.sound("e", n * 0.06)
-    # Three in a row come by chance once in 64,000.
+    # Three failures in a row occur by chance once in 64,000 requests.
     assert marks <= 1
 
 
@@ -181,11 +181,11 @@
     assert soundness.Strikes(5.0).strike("e", soundness.flaw_fault(soundness.REFUSED), 0.0)
 
 
-# Selection by the finish to be expected.
+# Selection by expected completion time.
 
 
 class ManualClock:
-    """A clock that is set."""
+    """A clock that is set by the test."""
 
     def __init__(self) -> None:
         self.time_s = 100.0
@@ -281,7 +281,7 @@
 
 
 def _selects_from(proxy: str, zones: dict[str, str]) -> set[str]:
-    """Which endpoints a proxy selects while requests pile up at all that it knows."""
+    """Return the endpoints that a proxy selects while requests accumulate at all of them."""
     selector, _, _ = _selector(zones, proxy)
     found = set()
     for _ in range(400):
@@ -305,7 +305,7 @@
     shares: collections.Counter[str] = collections.Counter()
     for n in range(90):
         shares.update(_selects_from(f"proxy-{n}", zones))
-    # Each of 90 proxies has 16 of 60: 24 for each endpoint in the mean.
+    # Each of the 90 proxies uses 16 of 60 endpoints: 24 proxies for each endpoint on average.
     assert len(shares) == 60
     assert max(shares.values()) <= 45
 
@@ -337,7 +337,7 @@
             selector.learn(_get(timeline, name), 0.06, 0.0, adapters.Load(0, 0, 2))
     selector.failed("a")
     assert set(_selected(selector)) == {"b"}
-    # No more than a preference: once the others' queues cost more, it is asked again.
+    # It is only a preference: once the others' queues cost more, the endpoint is selected again.
     for _ in range(6):
         selector.begun("b")
     assert set(_selected(selector)) == {"a"}
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""What callers may send: the layout's limits hold, and memory holds all bodies together."""
+"""Limits for clients' requests: the layout's limits apply, and all bodies together fit in memory."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 
 
 def _receiver(body: bytes, complete: bool = True) -> ports.Receive:
-    """A body in parts of ten bytes; one that is not whole has its caller wait."""
+    """Return a body in parts of ten bytes; if it is not complete, the last read waits."""
     parts = [body[n : n + 10] for n in range(0, len(body), 10)]
 
     async def receive() -> ports.Message:
@@ -44,7 +44,7 @@
 
 
 async def _read(intake: intakes.Intake, size: int) -> tuple[exchanges.Exchange, str]:
-    """Read a body; what is wrong with it, if anything."""
+    """Read a body; return the exchange and the tag of the failure, or an empty one."""
     exchange = intake.new_exchange(dict(SCOPE), _send)
     failure = await intake.read(exchange, _receiver(b"x" * size))
     return exchange, failure.code.tag if failure is not None else ""
@@ -67,12 +67,12 @@
 def test_bodies_beyond_what_all_may_hold_are_told_to_come_again_and_not_that_they_are_too_large() -> None:
     async def main() -> None:
         intake = _intake(body_most=2000)
-        # One alone is taken, however large.
+        # A single body is accepted, however large.
         only, tag = await _read(intake, 2000)
         assert tag == ""
         second, tag = await _read(intake, 10)
         assert (tag, second.retry_after) == ("too_busy", intakes.BUSY_RETRY_S)
-        # Who was turned away holds nothing once it is over, nor does who was served.
+        # Neither a refused nor an accepted request counts any more once it is finished.
         intake.release(second)
         intake.release(only)
         intake.release(only)
--- a/tests/test_long_failures.py
+++ b/tests/test_long_failures.py
@@ -1,4 +1,4 @@
-"""A read's failure that is too long to be held reaches its caller whole, or not at all."""
+"""A failure response to a read that is too long to buffer reaches the client complete, or not at all."""
 
 import asyncio
 import typing
@@ -9,7 +9,7 @@
 
 import dykeswitch.proxy.answering as answering
 
-# Over the 1 MiB that is held of an answer before it is passed on.
+# Longer than the 1 MiB of a response that is buffered before it is passed on.
 BODY: typing.Final = "a long failure. " * 98_304
 HEAD: typing.Final = (
     f"HTTP/1.1 500 Broken\r\nDykeswitch-Exchange: {{id}}\r\nContent-Length: {len(BODY)}\r\n\r\n"
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize("why", ["no other endpoint", "no coins", "stopping", "its rule is gone"])
 def test_a_long_failure_is_passed_on_whole_where_no_attempt_can_follow(why: str) -> None:
-    """A read's 500 of 1.5 MiB reached its caller cut, complete by its length (review, beyond the five)."""
+    """A 500 of 1.5 MiB reached the client truncated, with a matching length (review, beyond the five)."""
 
     async def work() -> None:
         endpoints = _failing(1 if why == "no other endpoint" else 2)
@@ -41,7 +41,7 @@
 
 
 def test_the_last_of_several_long_failures_is_passed_on_whole() -> None:
-    """Each endpoint was asked once, and the last one's answer was cut."""
+    """Each endpoint was sent the request once, and the last response was truncated."""
 
     async def work() -> None:
         endpoints = _failing(2)
@@ -53,7 +53,7 @@
 
 
 def test_a_long_failure_gives_way_to_an_endpoint_that_serves() -> None:
-    """It costs the read no further try."""
+    """The read is answered by the next attempt."""
 
     async def work() -> None:
         endpoints = between.sharing_script(list(LONG), count=2)
@@ -64,7 +64,7 @@
 
 
 def test_a_long_failure_that_gave_way_in_vain_is_no_answer() -> None:
-    """Its connection was closed for another try that reached nobody; the part held was sent as if whole."""
+    """It was aborted for an attempt that reached no endpoint; the buffered part was sent as if complete."""
 
     async def work() -> None:
         endpoints = _failing(3)
@@ -83,7 +83,7 @@
 
 
 def test_a_long_failure_that_is_cut_breaks_its_callers_connection() -> None:
-    """The only honest sign of a cut answer whose head has been sent."""
+    """Closing the connection is the only way to signal truncation once the head has been sent."""
 
     async def work() -> None:
         endpoint = scripted.ScriptedEndpoint([*LONG[:2], scripted.RESET])
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy within a small simulated fleet: overload, freezes, unknown outcomes."""
+"""The proxy in a small simulated fleet: overload, freezes and unknown outcomes."""
 
 import asyncio
 import dataclasses
@@ -50,15 +50,15 @@
 def test_overload_is_answered_at_once(tmp_path: pathlib.Path) -> None:
     async def work(fleet: fleets.SimFleet) -> None:
         requests = await _send_many(fleet, EXPORTS, 30)
-        away = [request for request in requests if request.result == 104]
-        assert len(away) >= 20
+        refused = [request for request in requests if request.result == 104]
+        assert len(refused) >= 20
         assert all(
             request.status == 503 and request.retry_after and request.ended_at - request.started_at < 0.02
-            for request in away
+            for request in refused
         )
         assert all(request.status == 200 for request in requests if request.result != 104)
-        # Nobody who was turned away ran.
-        assert not any(fleet.record.executions.get(request.name) for request in away)
+        # No refused request ran.
+        assert not any(fleet.record.executions.get(request.name) for request in refused)
 
     _run(tmp_path, work, exchanges_most=8)
 
@@ -71,7 +71,7 @@
             (502, 108, False)
         }
         assert all(len(fleet.record.executions[request.name]) == 1 for request in requests)
-        # The final answer comes as soon as it is known, not near the expiry.
+        # The final response is sent as soon as it is known, not near the deadline.
         assert max(request.ended_at - request.started_at for request in requests) < 1.0
 
     _run(tmp_path, work)
@@ -81,16 +81,16 @@
 def test_an_endpoints_own_hint_stays_where_it_may_have_run(
     service: shapes.ServiceShape, tmp_path: pathlib.Path
 ) -> None:
-    """It did the work and answered 503 with Retry-After: who obeys would run it twice."""
+    """The endpoint ran the request and answered 503 with Retry-After; a client that obeys runs it twice."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         _plan(fleet, service.name, "run_then_503")
         requests = await _send_many(fleet, service, 10)
-        # A 503 is taken for a promise: a caller who wrote is told that the outcome is unknown.
+        # A 503 is taken as a promise that nothing ran, so a write is answered with "outcome unknown".
         assert {(request.status, request.result) for request in requests} == {
             (502, 108) if service.writing else (503, 0)
         }
-        # A reading request that is given up on is told when to come back.
+        # A read that is given up gets a Retry-After.
         assert {request.retry_after for request in requests} == {not service.writing}
         assert all(fleet.record.executions[request.name] for request in requests)
 
@@ -100,7 +100,7 @@
 def test_a_promised_refusal_is_tried_elsewhere_even_if_it_writes(tmp_path: pathlib.Path) -> None:
     async def work(fleet: fleets.SimFleet) -> None:
         fleet.endpoints["exports-0"].plan.fault = "promise"
-        # The first request has the proxy borrow; from then on it may go again.
+        # The first request makes the proxy borrow; from then on extra attempts are possible.
         await _send_many(fleet, EXPORTS, 1)
         await asyncio.sleep(2.0)
         requests = await _send_many(fleet, EXPORTS, 3)
@@ -129,7 +129,7 @@
         page = await fleet.query("who is paused", fleet.cores[0])
         assert page is not None
         assert [(r[0], r[3], r[6]) for r in page["rows"]] == [("pages-0", "answered 502", "mark")]
-        # No one but the marked endpoint's fellows is asked while the mark stands.
+        # Only the unmarked endpoints receive requests while the mark is set.
         arrivals = fleet.endpoints["pages-0"].arrival_count
         await _send_many(fleet, PAGES, 20)
         assert fleet.endpoints["pages-0"].arrival_count == arrivals
@@ -148,9 +148,9 @@
     async def work(fleet: fleets.SimFleet) -> None:
         _plan(fleet, "exports", "lose")
         web = fleet.outside.web
-        reply = await web.request("POST", fleet.edges[0].web, "/exports/x?ask=a", [], b"{}", 5.0)
-        assert reply.status == 502
-        name = reply.header("dykeswitch-exchange")
+        response = await web.request("POST", fleet.edges[0].web, "/exports/x?ask=a", [], b"{}", 5.0)
+        assert response.status == 502
+        name = response.header("dykeswitch-exchange")
         page = await fleet.query(f"explain exchange {name}", fleet.cores[2])
         assert page is not None
         steps = [(row[1], row[2]) for row in page["rows"]]
@@ -173,7 +173,7 @@
 
     patch.setattr(proxies.Proxy, "confirm_fresh", confirm_fresh)
     patch.setattr(proxies.Proxy, "clock_jumped", lambda self: False)
-    # It was also silent all the while, which would turn callers away.
+    # It also heard nobody in the meantime, which would make it refuse requests.
     patch.setattr(proxies.Proxy, "silence_s", lambda self: 0.0)
 
 
@@ -181,7 +181,7 @@
 def test_a_woken_proxy_confirms_before_it_selects(
     guarded: bool, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Asked while frozen over a change of layout, it goes by the new one; unguarded it does not."""
+    """A proxy that was frozen during a layout change uses the new one; without the guard it does not."""
     if not guarded:
         _without_confirmation(monkeypatch)
 
@@ -191,7 +191,7 @@
         sending = asyncio.create_task(_send_many(fleet, PAGES, 10))
         await asyncio.sleep(0.5)
         if not guarded:
-            # No news is faster than the exchanges that wait: chance would else hide it.
+            # Keeps updates from arriving before the waiting requests, which would hide the failure by chance.
             fleet.world.links.cut([node.name], [n for n in fleet.world.nodes if n != node.name])
         doc = SMALL.layout()
         doc["rules"][0]["service"] = "exports"
@@ -214,7 +214,7 @@
 def test_an_idle_pipe_is_proven_anew(
     guarded: bool, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Behind a kept pipe someone else serves by now, and nobody has said so yet."""
+    """Another endpoint has taken over the address of a kept connection, and no update says so yet."""
     if not guarded:
 
         async def proven(self: pools.ConnectionPool, connection: object, probe: str, left: float) -> bool:
@@ -224,8 +224,8 @@
 
     async def work(fleet: fleets.SimFleet) -> None:
         if not guarded:
-            # A request also names the endpoint that it is for, and any other refuses it: without
-            # the one guard the other still holds, so both are taken away.
+            # A request also names the endpoint that it is for, and any other endpoint refuses it. Without
+            # the first guard this second one still prevents the failure, so both are disabled.
             delivery = fleet.edges[0].node.daemon.carrier._delivery
             delivery._header_names = dataclasses.replace(delivery._header_names, expected=b"x-nobody")
         for name in ("exports-1", "exports-2"):
@@ -246,12 +246,12 @@
 def test_a_proxy_that_wakes_with_no_core_in_mind_does_not_go_by_its_old_layout(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Frozen for longer than cores are remembered, and asked before anybody else is heard."""
+    """It was frozen for longer than entries of cores are kept, and gets requests before any message."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         node = fleet.edges[0].node
         node.freeze()
-        # What others send meanwhile is lost, as by a pipe that was reset.
+        # Messages sent to it in the meantime are lost, as on a connection that was reset.
         fleet.world.links.cut([node.name], [n for n in fleet.world.nodes if n != node.name])
         doc = SMALL.layout()
         doc["rules"][0]["service"] = "exports"
@@ -299,19 +299,19 @@
         (b"Accept-Encoding", b"gzip, br"),
         (b"Content-Encoding", b"gzip"),
     ]
-    # Repeated fields stay repeated, in their order; encodings are nobody's business here.
+    # Repeated fields stay repeated, in their order; encodings are passed through.
     assert headers.kept_headers(input_headers) == input_headers[4:]
 
 
 def test_two_runs_of_callers_are_told_apart_in_the_endpoints_books(tmp_path: pathlib.Path) -> None:
-    """The books hold the direct run too: its namesakes are no second run, and no run of who was refused."""
+    """The records also contain the direct run, whose equal ids are not counted as repeated or wrong runs."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         addresses = {
             s.name: [e.address for e in fleet.endpoints.values() if e.service == s.name]
             for s in SMALL.services
         }
-        # Endpoints speak over pipes, as real ones do.
+        # Endpoints communicate over connections, as real ones do.
         machine = fleet.outside._replace(web=standins.LightWeb(fleet.outside.net))
         base = await clients.direct(SMALL, machine, addresses, fleet.rng, 5.0)
         assert all(len(fleet.record.executions[request.name]) == 1 for request in base.requests.values())
@@ -321,7 +321,7 @@
         assert figures["turned_away"] >= 20
         assert figures["replied"] == figures["asked"] - figures["turned_away"] > 100
         assert (figures["run_twice"], figures["told_not_but_ran"]) == (0, 0)
-        # Both still count what is so: one more run of each kind shows.
+        # Both figures still count real cases: one more run of each kind shows.
         writes = [request for request in fleet.record.requests.values() if request.writing]
         for original in (
             next(request for request in writes if request.status == 200),
@@ -337,7 +337,7 @@
 
 @pytest.mark.parametrize("by_rule", [False, True])
 def test_no_wait_to_be_sure_outlasts_the_expiry(by_rule: bool, tmp_path: pathlib.Path) -> None:
-    """Woken from a freeze with no core to ask: whoever has less time than that takes hears so in time."""
+    """After a freeze with no core to ask, requests with little time are answered by their deadline."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         if by_rule:
@@ -351,8 +351,8 @@
         fleet.world.links.cut([node.name], [n for c in fleet.cores for n in c.names()])
         await asyncio.sleep(1.0)
         node.thaw()
-        span = 10.0 if by_rule else 0.3
-        hurried = clients.Clients(SMALL, fleet.outside, [], fleet.record, fleet.rng, span, "hurried-")
+        timeout_s = 10.0 if by_rule else 0.3
+        hurried = clients.Clients(SMALL, fleet.outside, [], fleet.record, fleet.rng, timeout_s, "hurried-")
         requests = await asyncio.gather(
             *(hurried.send_request(s, fleet.edges[0].web) for s in (PAGES, EXPORTS) * 3)
         )
@@ -391,7 +391,7 @@
 
 
 def test_a_caller_in_a_hurry_marks_no_endpoint(tmp_path: pathlib.Path) -> None:
-    """Less time than a pipe takes to open says nothing of an endpoint."""
+    """A timeout shorter than opening a connection takes says nothing about an endpoint."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         edge = fleet.edges[0]
@@ -401,7 +401,7 @@
             assert {request.status for request in requests} == {504}
         carrier = edge.node.daemon.carrier
         assert [n for n in fleet.endpoints if carrier._marks.mark_of(n) is not None] == []
-        # One that hangs for all the time a probe has is marked as ever.
+        # An endpoint that hangs for the whole probe timeout is still marked.
         _plan(fleet, "pages", "hang")
         for endpoint in fleet.endpoints.values():
             endpoint.plan.probe_too = True
@@ -412,7 +412,7 @@
 
 
 def test_to_open_a_pipe_takes_no_longer_than_the_expiry(tmp_path: pathlib.Path) -> None:
-    """A slow dial and a probe that hangs, each by itself within the time left."""
+    """A slow connect and a hanging probe, each by itself within the remaining time."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         _plan(fleet, "pages", "hang")
@@ -429,18 +429,18 @@
     _run(tmp_path, work)
 
 
-async def _send_during_partition(fleet: fleets.SimFleet, span: float) -> list[clients.Request]:
-    """Five who ask while their way to the proxy is closed for a span."""
+async def _send_during_partition(fleet: fleets.SimFleet, duration_s: float) -> list[clients.Request]:
+    """Send five requests while the link to the proxy is cut for some time."""
     links = fleet.world.links
     links.cut(["outside"], [fleet.edges[0].node.name])
     sending = asyncio.create_task(_send_many(fleet, EXPORTS, 5))
-    await asyncio.sleep(span)
+    await asyncio.sleep(duration_s)
     links.heal()
     return await sending
 
 
 def test_a_caller_whose_way_opens_after_its_expiry_sends_nothing(tmp_path: pathlib.Path) -> None:
-    """Who sent all the same would get a late reply, and a late run, that no proxy can prevent."""
+    """A request sent nevertheless would get a late response and run late, which no proxy can prevent."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         requests = await _send_during_partition(fleet, 10.5)
@@ -451,7 +451,7 @@
 
 
 def test_a_caller_states_what_it_has_left_when_its_way_opens(tmp_path: pathlib.Path) -> None:
-    """The field says milliseconds from now: to state the whole once part of it is over is untrue."""
+    """The field gives the milliseconds left, so the full timeout is wrong once part of it has passed."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         _plan(fleet, "exports", "hang")
--- a/tests/test_random_attempts.py
+++ b/tests/test_random_attempts.py
@@ -1,6 +1,6 @@
-"""Requests whose endpoints fail in any way while their rule changes at any moment, drawn by seeds.
+"""Randomized tests: endpoints fail in any way while a request's rule changes at any time.
 
-Whatever comes together, an answer is whole or broken off, and nothing runs that its rule does not allow.
+In every combination a response is complete or broken off, and no attempt is made that the rule forbids.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 import dykeswitch.proxy.answering as answering
 
 CASES: typing.Final = 40
-# Within how many seconds of the request's begin changes come.
+# Layout changes occur within this time after the start of the request.
 CHANGES_WITHIN_S: typing.Final = 1.2
 EXPIRY_S: typing.Final = scripted.LAYOUT["services"]["s"]["expiry_s"]
 BARE_503: typing.Final = between.FAILURE.replace("500 Broken", "503 Broken")
@@ -29,14 +29,14 @@
     "a long failure": long_failures.LONG,
     "a long failure that is cut": [*long_failures.LONG[:2], scripted.RESET],
 }
-# Attempts of these surely did not run.
+# Scripts whose attempts cannot have run.
 NOT_RUN: typing.Final = frozenset({"busy"})
 LAYOUTS: typing.Final = {
     **between.NO_FURTHER_ATTEMPT,
     **between.FURTHER_ATTEMPT_ALLOWED,
     "as it was": scripted.LAYOUT,
 }
-# What endpoints answer, whole, by status.
+# Complete response bodies of endpoints, by status.
 BODIES: typing.Final = {
     200: {b"whole"},
     500: {b"broken", long_failures.BODY.encode()},
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Case:
-    """One request, what its endpoints do, and which layouts come when."""
+    """A request, its endpoints' behavior, and the layout changes."""
 
     method: str
     retry_tokens: int
@@ -57,7 +57,7 @@
     changes: list[tuple[float, str]]
 
     def layout_at(self, at: float) -> dict[str, typing.Any]:
-        """The layout in force so long after the request's begin, in seconds."""
+        """Return the layout in effect a number of seconds after the start of the request."""
         names = ["as it was", *(name for when, name in self.changes if when <= at)]
         return LAYOUTS[names[-1]]
 
@@ -78,7 +78,7 @@
 
 
 def _rule(layout: dict[str, typing.Any], method: str) -> dict[str, typing.Any] | None:
-    """The rule for the request, told apart from the proxy's own matching."""
+    """Return the rule for the request, independently of the proxy's own matching."""
     matching = [rule for rule in layout["rules"] if rule["path"] in ("/", "/thing")]
     matching = [rule for rule in matching if not rule.get("methods") or method in rule["methods"]]
     return matching[0] if matching else None
@@ -87,7 +87,7 @@
 def _violations(
     case: Case, response: scripted.Response | None, sent_at: list[float], took_s: float
 ) -> list[str]:
-    """All that is wrong with what became of a case; no answer where its connection was broken off."""
+    """Return all violations in the result of a case; the response is None if it was broken off."""
     found = []
     may_have_run = 0
     for number, at in enumerate(sent_at):
@@ -96,22 +96,22 @@
             found.append(f"attempt {number} sent at {at:.2f} without a rule")
             continue
         if number and number >= rule.get("max_tries", 3):
-            found.append(f"attempt {number} sent at {at:.2f} beyond its tries")
+            found.append(f"attempt {number} sent at {at:.2f} beyond max_tries")
         if may_have_run and rule.get("writing", case.method == "POST"):
             found.append(f"attempt {number} sent at {at:.2f} though it writes and may have run")
-        # Where the list is over, endpoints answer as they should.
+        # After the end of the script, endpoints answer correctly.
         may_have_run += number >= len(case.scripts) or case.scripts[number] not in NOT_RUN
     if response is None:
-        # Only an answer whose first part has been passed on, and only by its endpoint or the expiry.
+        # Only a response that is being streamed may break off: its endpoint failed or the deadline passed.
         may_be_cut = "a long failure that is cut" in case.scripts
         may_be_late = "a long failure" in case.scripts and took_s >= EXPIRY_S
         return found if may_be_cut or may_be_late else [*found, "broken off"]
     headers = dict(response.headers)
     if headers[b"content-length"] != str(len(response.body)).encode():
-        found.append("a length that is not the body's")
+        found.append("content-length does not match the body")
     if b"dykeswitch-result" not in headers and response.body not in BODIES[response.status]:
-        found.append(f"{response.status} with {len(response.body)} bytes of no endpoint's answer")
-    # To a read these say nothing of what ran: it may be repeated.
+        found.append(f"{response.status} with {len(response.body)} bytes that no endpoint sent")
+    # For a read these statuses say nothing about what ran, as it may be repeated.
     rule = _rule(case.layout_at(took_s), case.method)
     writes = case.method == "POST" if rule is None else rule.get("writing", case.method == "POST")
     if writes and may_have_run and response.status in (404, 503) and b"dykeswitch-result" in headers:
@@ -139,7 +139,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_an_answer_is_whole_and_nothing_runs_that_its_rule_does_not_allow(seed: int) -> None:
-    """Successes without a body, cut failures, and reads sent again as orders came of a change mid-way."""
+    """Guards against empty successes, truncated failures and repeated writes after a change mid-request."""
     rng = random.Random(seed)
     found: list[tuple[Case, list[str]]] = []
 
