--- a/packages/proxy/src/dykeswitch/proxy/carrier.py
+++ b/packages/proxy/src/dykeswitch/proxy/carrier.py
@@ -275,7 +275,7 @@
         exchange.endpoint = entry
         exchange.tried_endpoints.add(entry.key)
         mark = self._marks.mark_of(entry.key)
-        why = f"all are marked; this mark expires first ({mark.fields['reason']})" if mark else "not marked"
+        why = f"all are marked; this mark expires first ({mark.fields['reason']})" if mark else "open"
         self._add_step(exchange, f"selected {entry.key}", why)
         return await self._connect(exchange, entry)
 
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -141,7 +141,7 @@
         assert self._server is not None
         await self._server.stop(0.0)
 
-    patch.setattr(proxies.Proxy, "_leave", leave)
+    patch.setattr(proxies.Proxy, "_drain", leave)
 
 
 def _deaf_to_leaving(patch: pytest.MonkeyPatch) -> None:
