--- a/packages/proxy/src/dykeswitch/proxy/pool.py
+++ b/packages/proxy/src/dykeswitch/proxy/pool.py
@@ -30,7 +30,7 @@
         self._timeline = timeline
         self._header_names = names
         # How long connections may stay idle, learned from connections that were reset.
-        self.idle_limits = resting.RestLimits(config.mark_s)
+        self.idle_limits = resting.IdleLimits(config.mark_s)
         self._idle: dict[str, list[connections.EndpointConnection]] = {}
         timeline.on_change(self._on_entry)
 
@@ -96,7 +96,7 @@
         """Return whether the endpoint may soon close an idle connection, or may have dropped it."""
         idle_for_s = now - connection.last_used_at
         near_timeout = connection.keep_alive_s is not None and idle_for_s > connection.keep_alive_s / 2
-        return near_timeout or idle_for_s > self.idle_limits.longest(service, now)
+        return near_timeout or idle_for_s > self.idle_limits.max_idle_s(service, now)
 
     async def _verify_again(
         self, connection: connections.EndpointConnection, probe: str, time_left_s: float
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -55,7 +55,9 @@
 
 def _always_retry(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(
-        carriers.Carrier, "_is_spent", lambda self, exchange: exchange.attempts >= exchange.max_tries
+        carriers.Carrier,
+        "_attempts_exhausted",
+        lambda self, exchange: exchange.attempts >= exchange.max_tries,
     )
     # The budget would hide the failure, since it covers few extra attempts in a day this short.
     _no_budget(patch)
@@ -68,7 +70,9 @@
 def _tries_for_ever(patch: pytest.MonkeyPatch) -> None:
     # Writing requests keep their limit: only reading ones are retried without end.
     patch.setattr(
-        carriers.Carrier, "_is_spent", lambda self, exchange: exchange.writing and exchange.attempts > 0
+        carriers.Carrier,
+        "_attempts_exhausted",
+        lambda self, exchange: exchange.writing and exchange.attempts > 0,
     )
     _no_budget(patch)
 
@@ -79,8 +83,8 @@
 
     async def deliver_and_keep(self: deliveries.Delivery, exchange: exchanges.Exchange) -> None:
         await deliver(self, exchange)
-        if exchange.head_came and exchange.answer is None:
-            exchange.answer = exchanges.Answer(connections.ResponseHead(200, []), b"", None)
+        if exchange.response_head_received and exchange.response is None:
+            exchange.response = exchanges.Response(connections.ResponseHead(200, []), b"", None)
 
     patch.setattr(deliveries.Delivery, "deliver", deliver_and_keep)
 
@@ -118,15 +122,15 @@
 
 def _always_hint(patch: pytest.MonkeyPatch) -> None:
     """Every refusal has a Retry-After header."""
-    refuse = answering.Answering.refuse
+    refuse = answering.Responder.refuse
 
     async def refuse_with_hint(
-        self: answering.Answering, exchange: exchanges.Exchange, failure: outcome.Failure
+        self: answering.Responder, exchange: exchanges.Exchange, failure: outcome.Failure
     ) -> None:
         exchange.retry_after = 1
         await refuse(self, exchange, failure)
 
-    patch.setattr(answering.Answering, "refuse", refuse_with_hint)
+    patch.setattr(answering.Responder, "refuse", refuse_with_hint)
 
 
 def _forgetful_storage(patch: pytest.MonkeyPatch) -> None:
@@ -147,7 +151,7 @@
         assert self._server is not None
         await self._server.stop(0.0)
 
-    patch.setattr(proxies.Proxy, "_leave", leave)
+    patch.setattr(proxies.Proxy, "_drain", leave)
 
 
 def _deaf_to_leaving(patch: pytest.MonkeyPatch) -> None:
@@ -186,7 +190,7 @@
 
 def _no_last_call(patch: pytest.MonkeyPatch) -> None:
     """A stopping proxy does not limit its exchanges to the grace period."""
-    patch.setattr(proxies.Proxy, "_hurry", lambda self, exchange: None)
+    patch.setattr(proxies.Proxy, "_apply_stop_deadline", lambda self, exchange: None)
 
 
 def _lends_at_once(patch: pytest.MonkeyPatch) -> None:
@@ -228,7 +232,7 @@
 
 def _slips_back(patch: pytest.MonkeyPatch) -> None:
     """A proxy returns to the previous layout for a while."""
-    reads = proxies.Proxy._reads
+    reads = proxies.Proxy._read_document
 
     async def read_and_revert(
         self: proxies.Proxy, name: str, version: int, data: bytes
@@ -247,7 +251,7 @@
 
         return apply_and_revert
 
-    patch.setattr(proxies.Proxy, "_reads", read_and_revert)
+    patch.setattr(proxies.Proxy, "_read_document", read_and_revert)
 
 
 def _breaks_are_accepted(patch: pytest.MonkeyPatch) -> None:
