--- a/packages/ports/src/dykeswitch/ports/__init__.py
+++ b/packages/ports/src/dykeswitch/ports/__init__.py
@@ -1,7 +1,7 @@
-"""The ports: what the programs ask of clock, network, disk and web server.
+"""Interfaces ("ports") through which the programs use clock, network, disk and web server.
 
-Each has one adapter for real machines (`dykeswitch.ports.real`) and one for the
-simulator; nothing else in the programs touches the operating system.
+Each port has an implementation for real machines (`dykeswitch.ports.real`) and one in the
+simulator. No other code of the programs touches the operating system.
 """
 
 import asyncio
@@ -17,67 +17,67 @@
 Message = typing.MutableMapping[str, typing.Any]
 Receive = typing.Callable[[], typing.Awaitable[Message]]
 Send = typing.Callable[[Message], typing.Awaitable[None]]
-# Libraries type their own scopes more narrowly, so the call itself is left open.
+# An ASGI application. Its parameters are left open because libraries type scopes more narrowly.
 App = typing.Callable[..., typing.Coroutine[typing.Any, typing.Any, None]]
 
 
-# An `ip:port` that was checked: only what `address_of` let through can be dialled.
+# A validated `ip:port`. `Network.connect` takes only these; `address_of` makes them.
 Address = typing.NewType("Address", str)
 
 
 class AddressError(ValueError):
-    """Something that is no `ip:port`."""
+    """The value is not a valid `ip:port`."""
 
 
 def address_of(raw: object) -> Address:
-    """A checked address; raises `AddressError` for anything else."""
-    fault = address_fault(raw) if isinstance(raw, str) else "an address must be text"
+    """Validate an address; raises `AddressError` if it is not a string of the form `ip:port`."""
+    fault = address_fault(raw) if isinstance(raw, str) else "an address must be a string"
     if fault is not None:
         raise AddressError(fault)
     return Address(str(raw))
 
 
-# The same few addresses come with each beat: they are not read anew each time.
+# Cached, because every heartbeat carries one of the same few addresses.
 @functools.lru_cache(4096)
 def address_fault(text: str) -> str | None:
-    """What is wrong with an `ip:port`, if anything."""
+    """Return what is wrong with an `ip:port`, or None if it is valid."""
     host, colon, port = text.rpartition(":")
     if not colon:
         return f"'{text}' is not ip:port"
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        return f"'{host}' is not an IP number"
+        return f"'{host}' is not an IP number (host names are not resolved)"
     if not port.isascii() or not port.isdigit() or not 1 <= int(port) <= 65535:
-        return f"'{port}' is not a port"
+        return f"'{port}' is not a port number from 1 to 65535"
     return None
 
 
 class Clock(typing.Protocol):
-    """Time: `now` never jumps, `wall` may."""
+    """A monotonic clock, a wall clock and a timer."""
 
     def now(self) -> float:
-        """Monotonic seconds."""
+        """Return the monotonic time in seconds; it never jumps."""
         ...
 
     def wall(self) -> float:
-        """Seconds since the epoch by the machine's own clock, which may be set."""
+        """Return the machine's wall-clock time in seconds since the epoch; it may jump when it is set."""
         ...
 
     async def sleep(self, duration_s: float) -> None:
-        """Wait for so many seconds."""
+        """Sleep for `duration_s` seconds."""
         ...
 
 
 class Connection(typing.Protocol):
-    """A two-way stream of bytes."""
+    """A bidirectional byte stream."""
 
     async def read(self, max_bytes: int) -> bytes:
-        """Up to `max_bytes` bytes; none at the end of the stream."""
+        """Read up to `max_bytes` bytes; an empty result means the end of the stream."""
         ...
 
     async def write(self, data: bytes) -> None:
-        """Send all of `data`, waiting for a slow reader."""
+        """Send all of `data`, waiting if the peer reads slowly."""
         ...
 
     def close(self) -> None:
@@ -85,7 +85,7 @@
         ...
 
     def ended(self) -> bool:
-        """Whether the stream is over or holds bytes that nobody asked for."""
+        """Whether the stream has ended or has unsolicited bytes waiting to be read."""
         ...
 
 
@@ -93,47 +93,47 @@
 
 
 class Listener(typing.Protocol):
-    """An open ear; `close` stops taking new pipes."""
+    """A listening socket."""
 
     def close(self) -> None:
-        """Stop accepting."""
+        """Stop accepting new connections."""
         ...
 
 
 class Network(typing.Protocol):
-    """Pipes by address; an address is `ip:port`."""
+    """Opens and accepts connections; an address is `ip:port`."""
 
     async def connect(self, address: Address, timeout_s: float) -> Connection:
         """Connect to an address within `timeout_s` seconds."""
         ...
 
     async def listen(self, address: str, serve: Serve) -> Listener:
-        """Accept connections at an address; each is handed to `serve`."""
+        """Accept connections at an address and call `serve` with each of them."""
         ...
 
 
 class Disk(typing.Protocol):
-    """The steps that make a file last; the files themselves lie under `root`."""
+    """The operations that make files durable; the files themselves are below `root`."""
 
     @property
     def root(self) -> pathlib.Path:
-        """The folder that holds the files."""
+        """The folder of the files."""
         ...
 
     def sync_file(self, path: pathlib.Path) -> None:
-        """Make a file's content durable."""
+        """Make the content of a file durable."""
         ...
 
     def sync_folder(self, path: pathlib.Path) -> None:
-        """Make a folder's names durable."""
+        """Make the directory entries of a folder durable."""
         ...
 
     def rename(self, old: pathlib.Path, new: pathlib.Path) -> None:
-        """Rename a file or folder, replacing what has the new name."""
+        """Rename a file or folder, replacing any that has the new name."""
         ...
 
     def drop(self, path: pathlib.Path) -> None:
-        """Remove a file or a whole folder, if it is there."""
+        """Remove a file, or a folder with its content, if it exists."""
         ...
 
     async def run(self, work: typing.Callable[[], T]) -> T:
@@ -142,15 +142,15 @@
 
 
 class FaultPoints(typing.Protocol):
-    """Numbered points at which a test may inject a fault."""
+    """Numbered points in the code at which a test may inject a fault."""
 
     def hit(self, number: int) -> None:
-        """Pass the point of this number."""
+        """Report that execution has reached the point with this number."""
         ...
 
 
 class NoFaultPoints:
-    """In production nothing happens at a numbered point."""
+    """The fault points of production, which inject nothing."""
 
     def hit(self, number: int) -> None:
         """Do nothing."""
@@ -158,56 +158,59 @@
 
 
 class Response(typing.NamedTuple):
-    """What a web call brought back."""
+    """The response to an HTTP request."""
 
     status: int
     headers: list[tuple[str, str]]
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """The first header field of a name in lower case, if there is one."""
-        for key, text in self.headers:
+        """Return the first header with this name (given in lower case), or None."""
+        for key, value in self.headers:
             if key.lower() == name:
-                return text
+                return value
         return None
 
 
-# Header fields of a call, or what makes them out at the moment when its way is open: who
-# states what is left of its time can't know it any earlier.
+# The headers of a request, or a function that builds them once the connection is open. A header
+# that states the remaining time of a request can only be computed then.
 Fields = list[tuple[str, str]] | typing.Callable[[], list[tuple[str, str]]]
 
 
 def resolve_fields(fields: Fields) -> list[tuple[str, str]]:
-    """The fields as they are at this moment; raises what their maker raises."""
+    """Return the headers, calling the function that builds them if there is one; its errors propagate."""
     return fields() if callable(fields) else fields
 
 
 class ConnectionLimits(typing.NamedTuple):
-    """How large a request's head may be (bytes), how long it and a rest between two may take (seconds)."""
+    """Limits of a server connection.
+
+    `head_most` is the maximum size of a request head in bytes, `head_s` the time within which a
+    started head must be complete, and `idle_s` how long the connection may be idle between requests.
+    """
 
     head_most: int
     head_s: float
     idle_s: float
 
 
-# What holds where nobody says anything else.
 DEFAULT_LIMITS: typing.Final = ConnectionLimits(head_most=32768, head_s=60.0, idle_s=60.0)
 
 
 def default_limits() -> ConnectionLimits:
-    """The limits of a server to which nobody gave any."""
+    """Return the limits of a server that was given none."""
     return DEFAULT_LIMITS
 
 
-# The limits of this moment: they may change while connections are open.
+# A function that returns the current limits, because they may change while connections are open.
 Limits = typing.Callable[[], ConnectionLimits]
 
 
 class Web(typing.Protocol):
-    """Web calls out, and an application served to the outside."""
+    """An HTTP client and an HTTP server."""
 
     async def serve(self, address: str, app: App, limits: Limits = default_limits) -> "WebServer":
-        """Serve an application at an address."""
+        """Serve an ASGI application at an address."""
         ...
 
     async def request(
@@ -219,20 +222,20 @@
         body: bytes,
         timeout_s: float,
     ) -> Response:
-        """Make one call and bring back the whole reply."""
+        """Send one request and return its complete response."""
         ...
 
 
 class WebServer(typing.Protocol):
-    """A served application."""
+    """A running HTTP server."""
 
     async def stop(self, grace_s: float) -> None:
-        """Stop serving, with `grace_s` seconds for the calls that are running."""
+        """Stop serving, allowing `grace_s` seconds for requests in progress."""
         ...
 
 
 class Machine(typing.NamedTuple):
-    """All the ports of one machine, handed to a program as one."""
+    """All the ports of one machine except its disk."""
 
     clock: Clock
     net: Network
@@ -241,7 +244,10 @@
 
 
 async def wait_for(cond: asyncio.Condition, predicate: typing.Callable[[], bool], timeout_s: float) -> bool:
-    """Wait on a held condition until the test holds or the span is over."""
+    """Wait until the predicate is true or the timeout is over; the condition's lock must be held.
+
+    Returns whether the predicate became true.
+    """
     try:
         async with asyncio.timeout(timeout_s if timeout_s < math.inf else None):
             await cond.wait_for(predicate)
--- a/packages/ports/src/dykeswitch/ports/departure.py
+++ b/packages/ports/src/dykeswitch/ports/departure.py
@@ -1,23 +1,23 @@
-"""How an application hears that the caller whose request it has in hand has left.
+"""Notification of an application that the client of its current request has disconnected.
 
-A web server keeps one `Departure` for each connection from outside and hands it to the
-application in the scope's `state`, the place that ASGI has for what server and application
-share. The interface's own way, a `receive` that is waited for all along, would take one more
-task for each request.
+A web server keeps one `Departure` per client connection and passes it to the application in the
+scope's `state`, which ASGI provides for data shared by server and application. The standard way
+of ASGI, awaiting `receive` until it returns `http.disconnect`, would need one more task for each
+request.
 """
 
 import typing
 
 import dykeswitch.ports as ports
 
-# Under which name a scope's state holds the departure.
+# The key of the `Departure` in a scope's state.
 STATE_KEY: typing.Final = "dykeswitch.departure"
 
 Listener = typing.Callable[[], None]
 
 
 class Departure:
-    """Whether the caller on one connection has left, and who is told of it.
+    """Whether the client of one connection has disconnected, and the listener to notify.
 
     A connection carries one request at a time, so there is at most one listener.
     """
@@ -29,17 +29,17 @@
         self._listener: Listener | None = None
 
     def watch(self, listener: Listener) -> None:
-        """Call a listener when the caller leaves; at once where it has left already."""
+        """Call the listener when the client disconnects, immediately if it already has."""
         self._listener = listener
         if self.has_left:
             listener()
 
     def unwatch(self) -> None:
-        """Call nobody any more: the request is answered."""
+        """Remove the listener, as after the request has been answered."""
         self._listener = None
 
     def announce(self) -> None:
-        """The caller has left; the web server says so."""
+        """Record that the client has disconnected and notify the listener; called by the web server."""
         if self.has_left:
             return
         self.has_left = True
@@ -48,7 +48,10 @@
 
 
 def departure_of(scope: ports.Scope) -> Departure:
-    """The departure of the caller of a request; one that never comes where the server knows of none."""
+    """Return the `Departure` of a request's client.
+
+    If the server does not provide one, the result is a `Departure` that is never announced.
+    """
     state = scope.get("state") or {}
     found = state.get(STATE_KEY)
     return found if isinstance(found, Departure) else Departure()
--- a/packages/ports/src/dykeswitch/ports/real.py
+++ b/packages/ports/src/dykeswitch/ports/real.py
@@ -1,4 +1,4 @@
-"""The adapters for real machines."""
+"""The implementations of the ports for real machines."""
 
 import asyncio
 import contextlib
@@ -22,54 +22,54 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """An `ip:port` in its two parts."""
+    """Split an `ip:port` into its host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class RealClock:
-    """The machine's own clocks."""
+    """The clocks of the operating system."""
 
     def now(self) -> float:
-        """Monotonic seconds."""
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
     def wall(self) -> float:
-        """Seconds since the epoch, by a clock that may be set."""
+        """Return the seconds since the epoch, by a clock that may be set."""
         return time.time()
 
     async def sleep(self, duration_s: float) -> None:
-        """Wait on the event loop."""
+        """Sleep on the event loop."""
         await asyncio.sleep(duration_s)
 
 
 class RealConnection:
-    """A TCP stream."""
+    """A TCP connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader = reader
         self._writer = writer
         sock = writer.get_extra_info("socket")
         if sock is not None:
-            # Frames and small requests must not wait for a fuller packet.
+            # Without Nagle's algorithm: frames and small requests must not wait for a fuller packet.
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     async def read(self, max_bytes: int) -> bytes:
-        """Up to `max_bytes` bytes; none at the end of the stream."""
+        """Read up to `max_bytes` bytes; an empty result means the end of the stream."""
         return await self._reader.read(max_bytes)
 
     async def write(self, data: bytes) -> None:
-        """Send all of `data`, waiting for a slow reader."""
+        """Send all of `data`, waiting if the peer reads slowly."""
         self._writer.write(data)
         await self._writer.drain()
 
     def close(self) -> None:
-        """Close the socket, whatever state it is in."""
+        """Close the socket; errors of an already broken one are ignored."""
         with contextlib.suppress(Exception):
             self._writer.close()
 
     def reset(self) -> None:
-        """End it so that the other end sees a reset, and what is unsent is lost."""
+        """Abort the connection: the peer sees a reset, and unsent data is lost."""
         sock = self._writer.get_extra_info("socket")
         with contextlib.suppress(Exception):
             if sock is not None:
@@ -77,22 +77,22 @@
             self._writer.transport.abort()
 
     def ended(self) -> bool:
-        """Whether it is closed or holds bytes that nobody asked for."""
-        # Unread bytes on an idle pipe are as bad as its end: nobody asked for them.
+        """Whether the connection is closed or has unread bytes."""
+        # Unread bytes on an idle connection are unsolicited, so it can't be reused either.
         return (
             self._reader.at_eof() or self._writer.is_closing() or bool(getattr(self._reader, "_buffer", b""))
         )
 
 
 class RealListener:
-    """An asyncio server and the pipes it has open."""
+    """An asyncio server and its open connections."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
         self.connections: set[RealConnection] = set()
 
     def close(self) -> None:
-        """Stop accepting, and close the connections it accepted."""
+        """Stop accepting, and close the accepted connections."""
         if self.server is not None:
             self.server.close()
         for connection in list(self.connections):
@@ -100,21 +100,21 @@
 
 
 class RealNetwork:
-    """TCP by IP numbers."""
+    """TCP to numeric IP addresses."""
 
     async def connect(self, address: ports.Address, timeout_s: float) -> ports.Connection:
-        """Connect within `timeout_s` seconds."""
+        """Connect to an address within `timeout_s` seconds."""
         host, port = split_address(address)
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(host, port)
         return RealConnection(reader, writer)
 
     async def listen(self, address: str, serve: ports.Serve) -> ports.Listener:
-        """Accept connections, each served by a task of its own."""
+        """Accept connections, each served in its own task."""
         host, port = split_address(address)
         listener = RealListener()
 
-        async def opened(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def on_connect(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             connection = RealConnection(reader, writer)
             listener.connections.add(connection)
             try:
@@ -125,7 +125,7 @@
                 listener.connections.discard(connection)
                 connection.close()
 
-        listener.server = await asyncio.start_server(opened, host, port, reuse_address=True)
+        listener.server = await asyncio.start_server(on_connect, host, port, reuse_address=True)
         return listener
 
 
@@ -138,27 +138,27 @@
 
     @property
     def root(self) -> pathlib.Path:
-        """The folder that holds the files."""
+        """The folder of the files."""
         return self._root
 
     def sync_file(self, path: pathlib.Path) -> None:
-        """Make a file's content durable with `fsync`."""
-        hand = os.open(path, os.O_RDONLY)
+        """Make the content of a file durable with `fsync`."""
+        descriptor = os.open(path, os.O_RDONLY)
         try:
-            os.fsync(hand)
+            os.fsync(descriptor)
         finally:
-            os.close(hand)
+            os.close(descriptor)
 
     def sync_folder(self, path: pathlib.Path) -> None:
-        """Make a folder's names durable with `fsync`."""
+        """Make the directory entries of a folder durable with `fsync`."""
         self.sync_file(path)
 
     def rename(self, old: pathlib.Path, new: pathlib.Path) -> None:
-        """Rename a file or folder, replacing what has the new name."""
+        """Rename a file or folder, replacing any that has the new name."""
         os.rename(old, new)
 
     def drop(self, path: pathlib.Path) -> None:
-        """Remove a file or a whole folder, if it is there."""
+        """Remove a file, or a folder with its content, if it exists."""
         if path.is_dir():
             shutil.rmtree(path, ignore_errors=True)
         else:
@@ -170,7 +170,7 @@
 
 
 class RealWeb:
-    """Uvicorn inward, httpx outward."""
+    """An HTTP server by uvicorn and an HTTP client by httpx."""
 
     def __init__(self) -> None:
         self._client: httpx.AsyncClient | None = None
@@ -178,8 +178,8 @@
     async def serve(
         self, address: str, app: ports.App, limits: ports.Limits = ports.default_limits
     ) -> ports.WebServer:
-        """Serve an application with uvicorn."""
-        # Brought in where it is needed: a store serves no web, and starting is part of recovery.
+        """Serve an ASGI application with uvicorn."""
+        # Imported lazily: start time is part of recovery time, and a store may serve no HTTP.
         import dykeswitch.ports.web_server as web_server
 
         host, port = split_address(address)
@@ -194,24 +194,24 @@
         body: bytes,
         timeout_s: float,
     ) -> ports.Response:
-        """Make one call with httpx; what httpx raises becomes an `OSError`."""
-        # Only the tools ask by web; the programs never load it.
+        """Send one request with httpx; errors of httpx become `OSError`."""
+        # Imported lazily: only the tools send HTTP requests this way; the programs never load httpx.
         import httpx
 
         if self._client is None:
             self._client = httpx.AsyncClient(trust_env=False, limits=httpx.Limits(max_connections=1000))
-        # The library makes the request out before it opens a pipe: there is no later moment.
+        # httpx builds the request before it opens a connection, so there is no later moment for this.
         fields = ports.resolve_fields(headers)
         try:
             async with asyncio.timeout(timeout_s):
-                reply = await self._client.request(
+                response = await self._client.request(
                     method, f"http://{address}{path}", headers=fields, content=body, timeout=timeout_s
                 )
-        except httpx.HTTPError as flaw:
-            raise OSError(f"{type(flaw).__name__}: {flaw}") from flaw
-        return ports.Response(reply.status_code, list(reply.headers.multi_items()), reply.content)
+        except httpx.HTTPError as error:
+            raise OSError(f"{type(error).__name__}: {error}") from error
+        return ports.Response(response.status_code, list(response.headers.multi_items()), response.content)
 
 
 def machine() -> ports.Machine:
-    """The ports of this machine."""
+    """Return the ports of this machine."""
     return ports.Machine(RealClock(), RealNetwork(), RealWeb(), ports.NoFaultPoints())
--- a/packages/ports/src/dykeswitch/ports/threads.py
+++ b/packages/ports/src/dykeswitch/ports/threads.py
@@ -1,7 +1,8 @@
-"""Threads for work that may block without end, as on a disk that stalls.
+"""Threads for work that may block forever, such as file operations on a stalled disk.
 
 The threads of `asyncio.to_thread` are joined when the loop closes and when the interpreter
-ends, so a process whose disk stalls could not stop. These are daemons: an end waits for none.
+exits, so a process with a stalled disk could not stop. These are daemon threads, which nothing
+waits for at exit.
 """
 
 import asyncio
@@ -13,12 +14,12 @@
 
 T = typing.TypeVar("T")
 
-# Several, so that work on one file need not wait for a stalled sync of another.
-THREADS_MOST: typing.Final = 4
+# More than one, so that work on one file need not wait for a stalled sync of another.
+MAX_THREADS: typing.Final = 4
 
 
 class DaemonThreads:
-    """Up to `THREADS_MOST` threads, started as they are needed and kept."""
+    """Up to `MAX_THREADS` threads, started on demand and kept."""
 
     def __init__(self) -> None:
         self._jobs: queue.SimpleQueue[collections.abc.Callable[[], None]] = queue.SimpleQueue()
@@ -26,13 +27,13 @@
         self._unfinished = 0
 
     async def run(self, work: typing.Callable[[], T]) -> T:
-        """Do the work in a thread; to be called from one loop only."""
+        """Run `work` in a thread and return its result; all calls must come from one event loop."""
         loop = asyncio.get_running_loop()
         done: asyncio.Future[T] = loop.create_future()
 
         def job() -> None:
             report = _outcome(work, done)
-            # The loop may be closed by now: then nobody waits for the outcome.
+            # If the loop is closed by now, nothing waits for the outcome.
             with contextlib.suppress(RuntimeError):
                 loop.call_soon_threadsafe(report)
 
@@ -46,7 +47,7 @@
         self._unfinished -= 1
 
     def _start_if_needed(self) -> None:
-        if self._started < min(self._unfinished, THREADS_MOST):
+        if self._started < min(self._unfinished, MAX_THREADS):
             self._started += 1
             threading.Thread(target=self._serve, name="disk", daemon=True).start()
 
@@ -56,10 +57,10 @@
 
 
 def _outcome(work: typing.Callable[[], T], done: "asyncio.Future[T]") -> typing.Callable[[], None]:
-    """Do the work; what is to be told of it in the loop."""
+    """Run `work`; return a callback that sets its result or error on the future, to be called in the loop."""
     try:
         result = work()
-    except BaseException as flaw:
-        failure = flaw
+    except BaseException as error:
+        failure = error
         return lambda: None if done.done() else done.set_exception(failure)
     return lambda: None if done.done() else done.set_result(result)
--- a/tests/test_stalled_disk.py
+++ b/tests/test_stalled_disk.py
@@ -355,4 +355,4 @@
 
     before = threading.active_count()
     asyncio.run(main())
-    assert threading.active_count() - before <= threads.THREADS_MOST
+    assert threading.active_count() - before <= threads.MAX_THREADS
