--- a/packages/adapter/src/dykeswitch/adapter/__init__.py
+++ b/packages/adapter/src/dykeswitch/adapter/__init__.py
@@ -1,8 +1,9 @@
-"""The adapter: how the outside speaks with us; the one port for names, formats and calls.
+"""Adapters to the outside: the only place for external names, formats and calls.
 
-An adapter translates and decides nothing. `DefaultAdapter` is the product's present interface; a
-platform's adapter is another. What an adapter hands in is the product's own: settings by our
-names, beats and layouts as our documents, header fields by their part in an exchange.
+An adapter translates and takes no decisions. `DefaultAdapter` is the product's own interface; a
+platform may have another one. An adapter passes everything on in the product's form: settings
+under the product's names, heartbeats and layouts as the product's documents, and headers by
+their role in an exchange.
 """
 
 import dataclasses
@@ -14,24 +15,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """Names of header fields, in lower case, by their part; empty where there is none."""
+    """Names of headers, in lower case, by their role; empty if a role has no header."""
 
-    # The caller's milliseconds from now on, and what is left of them at the endpoint.
+    # The client's time budget in milliseconds; towards the endpoint, what remains of it.
     expiry: bytes = b"dykeswitch-expiry-ms"
-    # An exchange's id, which endpoints give back with their replies.
+    # The id of the exchange, which endpoints return with their responses.
     exchange: bytes = b"dykeswitch-exchange"
-    # The id of the endpoint that a request is meant for: any other refuses it unrun.
+    # The id of the endpoint that the request is for: any other refuses it without executing it.
     expected: bytes = b"dykeswitch-expected"
-    # By which an endpoint names itself, on probes and replies.
+    # The id of the responding endpoint, on probe responses and others.
     served_by: bytes = b"dykeswitch-served-by"
-    # An endpoint's burden: running, waiting, slots.
+    # The load of the endpoint: running, waiting, slots.
     load: bytes = b"dykeswitch-burden"
-    # A field that every success bears; one without it is no endpoint's reply.
+    # Present in every successful response; one without it does not come from an endpoint.
     seal: bytes = b""
 
 
 class Load(typing.NamedTuple):
-    """What an endpoint says of its work: requests running and waiting, and its slots."""
+    """The load that an endpoint reports: its running and waiting requests, and its slots."""
 
     running: int
     waiting: int
@@ -39,66 +40,66 @@
 
 
 class Calls(typing.Protocol):
-    """What an adapter may ask of the registry that it speaks for."""
+    """The calls of a registry that an adapter may use."""
 
     async def heartbeat(self, raw: object) -> outcome.Success[dict[str, object]] | outcome.Failure:
-        """Take a beat in the product's own form."""
+        """Process a heartbeat in the product's form."""
         ...
 
     async def put_layout(self, data: bytes) -> outcome.Success[int] | outcome.Failure:
-        """Take a layout as it was sent; its version."""
+        """Store a layout as it was sent; the result is its version."""
         ...
 
     async def newest_layout(self) -> outcome.Success[bytes] | outcome.Failure:
-        """The newest layout, as it was sent, from a majority."""
+        """Return the newest layout, as it was sent, read from a majority."""
         ...
 
 
 class Adapter(typing.Protocol):
-    """How one kind of outside speaks."""
+    """The external interface of one platform."""
 
     @property
     def header_names(self) -> HeaderNames:
-        """The names of the header fields."""
+        """The names of the headers."""
         ...
 
     @property
     def named_by_caller(self) -> bool:
-        """Whether an exchange's id is the caller's own, passed on as it came."""
+        """Whether the client chooses the exchange's id, which is then passed on unchanged."""
         ...
 
     @property
     def ready_path(self) -> str:
-        """Where the platform asks whether we are ready."""
+        """The path of the readiness page."""
         ...
 
     def layout(self, data: bytes) -> outcome.Success[object] | outcome.Failure:
-        """A layout as sent, in the product's form, not yet checked."""
+        """Translate a layout as sent to the product's form, without checking it."""
         ...
 
     def promises_not_run(self, status: int, headers: list[tuple[bytes, bytes]]) -> bool:
-        """Whether an endpoint's reply says that the request did not run and will not."""
+        """Whether an endpoint's response states that the request did not run and will not run."""
         ...
 
     def retry_after(self, delay_s: float) -> bytes:
-        """How a caller is told to come back after a span of seconds."""
+        """Return the value of `Retry-After` for a delay in seconds."""
         ...
 
     def calls(self, registry: Calls) -> list[typing.Any]:
-        """The handlers of calls beside the product's own, for the registry's application."""
+        """Return the handlers of the platform's calls, to be added to the registry's application."""
         ...
 
 
 def find(headers: list[tuple[bytes, bytes]], name: bytes) -> bytes | None:
-    """The first field of a name in lower case, if there is one."""
-    for key, text in headers:
+    """Return the first header with this name (given in lower case), or None."""
+    for key, value in headers:
         if key.lower() == name:
-            return text
+            return value
     return None
 
 
 def load(text: bytes | None) -> Load | None:
-    """A told burden, where it is three whole numbers."""
+    """Parse a reported load; None unless it is three whole numbers."""
     parts = (text or b"").split(b",")
     if len(parts) != 3 or not all(part.strip().isdigit() for part in parts):
         return None
@@ -107,7 +108,7 @@
 
 
 class DefaultAdapter:
-    """The product's present interface."""
+    """The product's own interface."""
 
     PROMISE: typing.Final = b"dykeswitch-promise"
     NOT_RUN: typing.Final = b"not-run"
@@ -117,21 +118,21 @@
     ready_path: str = "/readyz"
 
     def layout(self, data: bytes) -> outcome.Success[object] | outcome.Failure:
-        """A layout as sent: JSON in the product's form."""
+        """Parse a layout as sent, which is JSON in the product's form."""
         try:
             return outcome.Success(json.loads(data))
-        except (ValueError, RecursionError) as flaw:
-            return outcome.failure("bad_json", str(flaw)[:200])
+        except (ValueError, RecursionError) as error:
+            return outcome.failure("bad_json", str(error)[:200])
 
     def promises_not_run(self, status: int, headers: list[tuple[bytes, bytes]]) -> bool:
-        """Whether the reply bears the promise that the request did not run."""
+        """Whether the response has the header that promises that the request did not run."""
         return find(headers, self.PROMISE) == self.NOT_RUN
 
     def retry_after(self, delay_s: float) -> bytes:
-        """A `Retry-After` in whole seconds."""
-        # The field's unit is whole seconds: never sooner than meant.
+        """Return the value of `Retry-After` in whole seconds."""
+        # The unit of HTTP; rounded up, so that a client never retries too early.
         return str(max(1, int(-(-delay_s // 1)))).encode()
 
     def calls(self, registry: Calls) -> list[typing.Any]:
-        """No calls beside the product's own."""
+        """Return no handlers: there are no calls besides the product's own."""
         return []
--- a/packages/adapter/src/dykeswitch/adapter/page.py
+++ b/packages/adapter/src/dykeswitch/adapter/page.py
@@ -1,7 +1,7 @@
-"""An application that only says whether a program is alive and ready, on an address of its own.
+"""An ASGI application that reports whether a program is alive and ready, on its own address.
 
-It is written to the server's own interface: a framework for two pages would take a third of a
-proxy's start, and starting is part of recovery.
+It uses ASGI directly: loading a web framework for these few pages would take a third of a proxy's
+start time, and start time is part of recovery time.
 """
 
 import json
@@ -9,40 +9,47 @@
 
 import dykeswitch.ports as ports
 
-# A program's kind and name, and what it counts.
-Counted = tuple[str, str, typing.Callable[[], typing.Mapping[str, float]]]
+# The kind of a program, its name, and a function that returns its counters.
+CounterSource = tuple[str, str, typing.Callable[[], typing.Mapping[str, float]]]
 
 
 def app(
     path: str,
-    ask: typing.Callable[[], str | None],
-    more: dict[str, str] | None = None,
-    counted: Counted | None = None,
+    why_not_ready: typing.Callable[[], str | None],
+    extra_fields: dict[str, str] | None = None,
+    counter_source: CounterSource | None = None,
 ) -> ports.App:
-    """The application; `ask` says why not ready, or nothing, and `more` goes on the page too."""
-
-    def page(asked: str) -> tuple[int, str, bytes]:
-        if asked == path:
-            why = ask()
-            doc: dict[str, typing.Any] = {"ready": why is None, **(more or {})}
-            if why is not None:
-                doc["why"] = why
-            return 200 if why is None else 503, "application/json", json.dumps(doc).encode()
-        if asked == "/healthz":
+    """Return the application.
+
+    Args:
+        path: The path of the readiness page.
+        why_not_ready: Returns why the program is not ready, or None if it is.
+        extra_fields: Further fields of the readiness page.
+        counter_source: The program and its counters; without it there is no counters page.
+    """
+
+    def page(requested: str) -> tuple[int, str, bytes]:
+        if requested == path:
+            reason = why_not_ready()
+            doc: dict[str, typing.Any] = {"ready": reason is None, **(extra_fields or {})}
+            if reason is not None:
+                doc["why"] = reason
+            return 200 if reason is None else 503, "application/json", json.dumps(doc).encode()
+        if requested == "/healthz":
             return 200, "application/json", b'{"state": "alive"}'
-        if asked == "/-/counters" and counted is not None:
-            # Brought in when somebody asks.
+        if requested == "/-/counters" and counter_source is not None:
+            # Imported at the first request, to keep the start short.
             import dykeswitch.logs.counters as counters
 
-            kind, name, counts = counted
+            kind, name, counts = counter_source
             return 200, "text/plain; version=0.0.4", counters.page(kind, name, counts())
         return 404, "application/json", b"{}"
 
     async def serve(scope: ports.Scope, receive: ports.Receive, send: ports.Send) -> None:
         if scope["type"] != "http":
             return
-        status, kind, body = page(str(scope["path"]))
-        headers = [(b"content-type", kind.encode()), (b"content-length", str(len(body)).encode())]
+        status, media_type, body = page(str(scope["path"]))
+        headers = [(b"content-type", media_type.encode()), (b"content-length", str(len(body)).encode())]
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": body if scope["method"] != "HEAD" else b""})
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -206,13 +206,13 @@
 
 @pytest.mark.parametrize("program", settings.PROGRAMS)
 def test_settings_under_our_names(program: str, folder: tuple[typing.Any, typing.Any]) -> None:
-    checked = settings.check(program, folder[1].plain(program, _told()))
+    checked = settings.check(program, folder[1].translate(program, _told()))
     assert isinstance(checked, outcome.Success)
     config = checked.value
     assert (config.drain_s, config.extra_share, config.extra_floor, config.cores_lost) == (1.5, 0.1, 7, 2)
     if program == "registry":
         assert config.founders == ("10.1.0.37:7541", "10.2.0.37:7541")
-        later = settings.check(program, folder[1].plain(program, _told(bootstrap=False)))
+        later = settings.check(program, folder[1].translate(program, _told(bootstrap=False)))
         assert isinstance(later, outcome.Success) and later.value.founders == ()
     if program == "proxy":
         assert (config.web, config.ready, config.member) == ("10.1.0.34:80", "10.1.0.34:81", "10.1.0.34:7540")
