--- a/packages/language/src/dykeswitch/language/__init__.py
+++ b/packages/language/src/dykeswitch/language/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' language: one grammar for questions and commands."""
+"""The operators' language: one grammar for queries and commands."""
 
 import dataclasses
 import typing
@@ -8,20 +8,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Show:
-    """A question about a subject, perhaps narrowed."""
+    """A query about a subject, optionally with filters."""
 
     subject: str
     filters: tuple[tuple[str, str], ...] = ()
 
     def wants(self, name: str, value: str) -> bool:
-        """Whether a value passes the filters of that name."""
-        asked = [text for kind, text in self.filters if kind == name]
-        return not asked or value in asked
+        """Whether a value passes the filters of the given name."""
+        allowed = [text for kind, text in self.filters if kind == name]
+        return not allowed or value in allowed
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Explain:
-    """Where would this request go, and why?"""
+    """Explain where a request would be sent, and why."""
 
     method: str
     host: str
@@ -30,14 +30,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Trail:
-    """What was done for this exchange, and why?"""
+    """Explain what was done for an exchange, and why."""
 
     exchange: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pause:
-    """Take an endpoint out for a window of time."""
+    """Pause an endpoint for `for_s` seconds, beginning in `in_s` seconds."""
 
     endpoint: str
     for_s: float
@@ -56,18 +56,18 @@
 
 
 def parse(text: str) -> outcome.Success[Command] | outcome.Failure:
-    """A command out of text, or the place of the fault and what was expected there."""
-    # Brought in with the first question: a registry starts without its grammar.
+    """Parse a command, or report the position of the error and what was expected there."""
+    # Imported at the first query, so that the grammar doesn't slow the start of a registry.
     import dykeswitch.language.grammar as grammar
 
     return grammar.parse(text)
 
 
 def table(columns: typing.Sequence[str], rows: typing.Sequence[typing.Sequence[object]]) -> str:
-    """Rows as plain text in columns."""
-    texts = [[str(c) for c in columns], *([_cell(c) for c in row] for row in rows)]
-    wide = [max(len(line[n]) for line in texts) for n in range(len(columns))]
-    return "\n".join("  ".join(c.ljust(w) for c, w in zip(line, wide)).rstrip() for line in texts)
+    """Format rows as plain text in aligned columns."""
+    lines = [[str(c) for c in columns], *([_cell(c) for c in row] for row in rows)]
+    widths = [max(len(line[n]) for line in lines) for n in range(len(columns))]
+    return "\n".join("  ".join(c.ljust(w) for c, w in zip(line, widths)).rstrip() for line in lines)
 
 
 def _cell(raw: object) -> str:
--- a/packages/language/src/dykeswitch/language/grammar.py
+++ b/packages/language/src/dykeswitch/language/grammar.py
@@ -1,4 +1,4 @@
-"""The grammar of the operators' language, and from its tree to a command."""
+"""The grammar of the operators' language, and the conversion of parse trees to commands."""
 
 import typing
 
@@ -45,8 +45,8 @@
 %ignore WS
 """
 
-# What the parser's own names for words are called towards an operator.
-PLAIN: typing.Final = {
+# Descriptions of terminals in error messages.
+TERMINAL_TEXTS: typing.Final = {
     "NAME": "a name",
     "SPAN": "a span such as 90s, 10m, 2h or 1d",
     "REASON": 'a reason in "quotes"',
@@ -55,17 +55,17 @@
     "METHOD": "a method such as GET",
     "$END": "the end",
 }
-# No window may be longer, nor begin later: ten years.
-SPAN_MOST: typing.Final = 3650 * 86400.0
-UNITS: typing.Final = {"s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
+# The maximum duration of a pause, and the maximum time until it begins: ten years.
+MAX_SPAN_S: typing.Final = 3650 * 86400.0
+UNIT_S: typing.Final = {"s": 1.0, "m": 60.0, "h": 3600.0, "d": 86400.0}
 
 
-def _span(token: lark.Token) -> float:
-    return float(token[:-1]) * UNITS[token[-1]]
+def _seconds(token: lark.Token) -> float:
+    return float(token[:-1]) * UNIT_S[token[-1]]
 
 
 class _Build(lark.Transformer[lark.Token, language.Command]):
-    """From the parse tree to a command."""
+    """Converts a parse tree to a command; each method handles the grammar rule of its name."""
 
     def start(self, parts: list[typing.Any]) -> language.Command:
         return typing.cast(language.Command, parts[0])
@@ -98,8 +98,8 @@
         return language.Trail(str(parts[0]))
 
     def pause(self, parts: list[typing.Any]) -> language.Command:
-        later = _span(parts[2]) if parts[2] is not None else 0.0
-        return language.Pause(str(parts[0]), _span(parts[1]), later, str(parts[3])[1:-1])
+        in_s = _seconds(parts[2]) if parts[2] is not None else 0.0
+        return language.Pause(str(parts[0]), _seconds(parts[1]), in_s, str(parts[3])[1:-1])
 
     def end(self, parts: list[typing.Any]) -> language.Command:
         return language.End(str(parts[0]))
@@ -108,30 +108,32 @@
 _PARSER: typing.Final = lark.Lark(GRAMMAR, parser="earley", maybe_placeholders=True)
 
 
-def _expected(names: typing.Iterable[str]) -> str:
-    words = set()
-    for name in names:
-        words.add(PLAIN.get(name, f"'{name.lower()}'"))
-    return ", ".join(sorted(words))
+def _expected(terminals: typing.Iterable[str]) -> str:
+    texts = set()
+    for terminal in terminals:
+        texts.add(TERMINAL_TEXTS.get(terminal, f"'{terminal.lower()}'"))
+    return ", ".join(sorted(texts))
 
 
 def parse(text: str) -> outcome.Success[language.Command] | outcome.Failure:
-    """A command out of text, or the place of the fault and what was expected there."""
+    """Parse a command, or report the position of the error and what was expected there."""
     if len(text) > 2000:
-        return outcome.failure("bad_query", "longer than 2000 letters")
+        return outcome.failure("bad_query", "longer than 2000 characters")
     try:
         tree = _PARSER.parse(text)
-    except lark.UnexpectedCharacters as flaw:
-        names = flaw.allowed or set()
-        return outcome.failure("bad_query", f"at column {flaw.column}: expected {_expected(names)}")
-    except lark.UnexpectedEOF as flaw:
-        return outcome.failure("bad_query", f"at the end: expected {_expected(flaw.expected)}")
-    except lark.UnexpectedInput as flaw:
-        return outcome.failure("bad_query", f"at column {flaw.column}: not understood")
+    except lark.UnexpectedCharacters as error:
+        terminals = error.allowed or set()
+        return outcome.failure("bad_query", f"at column {error.column}: expected {_expected(terminals)}")
+    except lark.UnexpectedEOF as error:
+        return outcome.failure("bad_query", f"at the end: expected {_expected(error.expected)}")
+    except lark.UnexpectedInput as error:
+        return outcome.failure("bad_query", f"at column {error.column}: syntax error")
     command = _Build().transform(tree)
     if not isinstance(command, language.Pause):
         return outcome.Success(command)
-    if not (0 < command.for_s <= SPAN_MOST and command.in_s <= SPAN_MOST):
-        # Past what a calendar holds it could be planned, and never shown.
-        return outcome.failure("bad_query", "a pause takes a span over 0, and up to 3650d")
+    if not (0 < command.for_s <= MAX_SPAN_S and command.in_s <= MAX_SPAN_S):
+        # Times beyond the range of a calendar could be stored but not displayed.
+        return outcome.failure(
+            "bad_query", "a pause must last longer than 0 and at most 3650d, and begin within 3650d"
+        )
     return outcome.Success(command)
--- a/packages/logs/src/dykeswitch/logs/__init__.py
+++ b/packages/logs/src/dykeswitch/logs/__init__.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, on standard error."""
+"""Structured logs: one JSON object per line, on standard error."""
 
 import json
 import logging
@@ -15,15 +15,15 @@
 
 
 class Log:
-    """Writes events with their fields."""
+    """Writes events with fields."""
 
     def __init__(self, program: str, name: str, level: str, clock: ports.Clock) -> None:
-        self._head = {"program": program, "name": name}
+        self._common_fields = {"program": program, "name": name}
         self._clock = clock
         self._level = LEVELS[level]
-        # A simulator that keeps its own record wants the events themselves.
+        # If set, receives the events instead of standard error; the simulator records them this way.
         self.hook: typing.Callable[[dict[str, typing.Any]], None] | None = None
-        # Not one of the library's tree: what libraries log there comes back to us by the bridge.
+        # Outside the hierarchy of `logging`, whose root logger passes its records to this log (see `bridge`).
         self._out = logging.Logger(f"{program}.{name}", self._level)
         handler = logging.StreamHandler()
         handler.setFormatter(logging.Formatter("%(message)s"))
@@ -32,7 +32,13 @@
     def _write(self, level: str, event: str, fields: dict[str, typing.Any]) -> None:
         if LEVELS[level] < self._level:
             return
-        line = {"time": round(self._clock.wall(), 3), "level": level, **self._head, "event": event, **fields}
+        line = {
+            "time": round(self._clock.wall(), 3),
+            "level": level,
+            **self._common_fields,
+            "event": event,
+            **fields,
+        }
         if self.hook is not None:
             self.hook(line)
             return
@@ -55,18 +61,18 @@
         self._write("error", event, fields)
 
     def bridge(self) -> None:
-        """What libraries log by the standard way becomes lines of ours."""
+        """Redirect records that libraries write with the standard `logging` module to this log."""
         root = logging.getLogger()
         root.handlers = [_Bridge(self)]
         root.setLevel(logging.WARNING)
 
     def note(self, event: str, what: str) -> None:
-        """For parts that know nothing of levels."""
+        """Log an event at level warning; a callback for packages that don't depend on this one."""
         self._write("warning", event, {"what": what})
 
 
 class _Bridge(logging.Handler):
-    """Hands records of the standard library's logging on."""
+    """Passes records of the standard `logging` module to a `Log`."""
 
     def __init__(self, log: Log) -> None:
         super().__init__(logging.WARNING)
@@ -75,6 +81,6 @@
     def emit(self, record: logging.LogRecord) -> None:
         fields: dict[str, typing.Any] = {"of": record.name, "what": record.getMessage()[:500]}
         if record.exc_info and record.exc_info[1] is not None:
-            flaw = record.exc_info[1]
-            fields["flaw"] = f"{type(flaw).__name__}: {flaw}"[:300]
+            error = record.exc_info[1]
+            fields["flaw"] = f"{type(error).__name__}: {error}"[:300]
         (self._log.error if record.levelno >= logging.ERROR else self._log.warning)("library", **fields)
--- a/packages/logs/src/dykeswitch/logs/counters.py
+++ b/packages/logs/src/dykeswitch/logs/counters.py
@@ -1,4 +1,4 @@
-"""The counters page, in the text form that monitoring systems read."""
+"""The counters page, in the Prometheus text format."""
 
 import typing
 
@@ -7,8 +7,8 @@
 import prometheus_client.registry
 
 
-class _Held(prometheus_client.registry.Collector):
-    """Hands a program's own counts to the library at the moment it is asked."""
+class _CountsCollector(prometheus_client.registry.Collector):
+    """Exposes the counts that a program keeps itself, read at the time of collection."""
 
     def __init__(self, program: str, name: str, counts: typing.Mapping[str, float]) -> None:
         self._program = program
@@ -25,7 +25,7 @@
 
 
 def page(program: str, name: str, counts: typing.Mapping[str, float]) -> bytes:
-    """One page of counters."""
+    """Return the page with the given counters."""
     registry = prometheus_client.CollectorRegistry(auto_describe=False)
-    registry.register(_Held(program, name, counts))
+    registry.register(_CountsCollector(program, name, counts))
     return prometheus_client.generate_latest(registry)
--- a/packages/settings/src/dykeswitch/settings/__init__.py
+++ b/packages/settings/src/dykeswitch/settings/__init__.py
@@ -1,9 +1,9 @@
-"""Settings: a TOML file and flags, checked as a whole, every fault named.
+"""Settings from a TOML file and flags, checked as a whole so that every error is reported at once.
 
-All times hang on a few bounds (`recover_s`, `drain_s`, `grace_s`): what a program
-uses is a ratio to one of them, so a team that moves a bound moves all that rests on it.
+All times derive from a few bounds (`recover_s`, `drain_s`, `grace_s`): the durations that the
+programs use are ratios to one of them, so changing a bound changes everything that depends on it.
 
-`model` has the settings, `checks` what holds of them, `sources` where they come from.
+`model` defines the settings, `checks` validates them, and `sources` reads them.
 """
 
 from dykeswitch.settings.checks import PROGRAMS, check
--- a/packages/settings/src/dykeswitch/settings/checks.py
+++ b/packages/settings/src/dykeswitch/settings/checks.py
@@ -1,4 +1,4 @@
-"""The checks of settings: all at once, every fault named."""
+"""Validation of settings, which reports every error at once."""
 
 import dataclasses
 import typing
@@ -9,15 +9,15 @@
 
 PROGRAMS: typing.Final = ("proxy", "registry", "store")
 
-# Which settings each program can not go without.
-NEEDS: typing.Final[dict[str, tuple[str, ...]]] = {
+# The settings that each program requires.
+REQUIRED: typing.Final[dict[str, tuple[str, ...]]] = {
     "proxy": ("name", "zone", "member", "web", "seeds"),
     "registry": ("name", "zone", "member", "web", "store"),
     "store": ("name", "store", "data"),
 }
 ADDRESSES: typing.Final = ("member", "listen", "web", "ready", "store")
 ADDRESS_LISTS: typing.Final = ("seeds", "founders")
-# Earlier names that are still understood, each with the name that took its place.
+# Former names that are still accepted, each with its present name.
 ALIASES: typing.Final = {"ear": "listen"}
 DURATIONS: typing.Final = (
     "recover_s",
@@ -29,7 +29,7 @@
     "back_s",
     "extra_window_s",
 )
-DURATION_MOST_S: typing.Final = 3600
+MAX_DURATION_S: typing.Final = 3600
 COUNTS: typing.Final = (
     "max_tries",
     "exchanges_most",
@@ -39,6 +39,7 @@
     "head_most",
     "layout_most",
 )
+# Settings that range from 0 to the given maximum.
 SHARES: typing.Final = {"extra_share": 1, "far_share": 100}
 NOT_NEGATIVE: typing.Final = ("cores_lost", "zones_lost", "regions_lost", "extra_floor")
 CHOICES: typing.Final = {
@@ -50,7 +51,10 @@
 
 
 def renamed(raw: typing.Mapping[str, object]) -> dict[str, object]:
-    """Values under today's names; an earlier name beside its new one stays, to be told as a fault."""
+    """Replace former names by present ones.
+
+    A former name that is given besides its present one stays, so that it is reported as an error.
+    """
     return {
         (ALIASES[name] if name in ALIASES and ALIASES[name] not in raw else name): value
         for name, value in raw.items()
@@ -58,34 +62,34 @@
 
 
 def check(program: str, raw: typing.Mapping[str, object]) -> outcome.Success[Settings] | outcome.Failure:
-    """Settings for a program out of plain values, or every fault in them."""
+    """Make the settings of a program from plain values, or report every error in them."""
     raw = renamed(raw)
     faults: list[str] = []
-    kept = _known(raw, faults)
-    for name in NEEDS[program]:
+    values = _known(raw, faults)
+    for name in REQUIRED[program]:
         if not raw.get(name):
-            faults.append(f"{name}: missing, and {program} needs it")
-    faults += [*_address_faults(kept), *_number_faults(kept), *_choice_faults(kept)]
+            faults.append(f"{name}: missing, but required for a {program}")
+    faults += [*_address_faults(values), *_number_faults(values), *_choice_faults(values)]
     if faults:
         return outcome.failure("bad_settings", faults=tuple(faults))
-    return outcome.Success(Settings(**kept))
+    return outcome.Success(Settings(**values))
 
 
 def _known(raw: typing.Mapping[str, object], faults: list[str]) -> Values:
-    """The values of known settings, each of its type."""
+    """Return the known settings, converted to their types, and collect errors in `faults`."""
     hints = typing.get_type_hints(Settings)
     known = {f.name for f in dataclasses.fields(Settings)}
-    kept: Values = {}
+    values: Values = {}
     for name, value in raw.items():
         if name in ALIASES:
             faults.append(f"{name}: the earlier name of {ALIASES[name]}, which is given too")
         elif name not in known:
             faults.append(f"{name}: unknown setting")
         else:
-            seen = _typed(name, hints[name], value, faults)
-            if seen is not None:
-                kept[name] = seen
-    return kept
+            converted = _typed(name, hints[name], value, faults)
+            if converted is not None:
+                values[name] = converted
+    return values
 
 
 def _typed(name: str, kind: object, raw: object, faults: list[str]) -> object:
@@ -99,38 +103,38 @@
         return raw
     if kind == tuple[str, ...] and isinstance(raw, list) and all(isinstance(x, str) for x in raw):
         return tuple(raw)
-    faults.append(f"{name}: wrong type of value: {raw!r}")
+    faults.append(f"{name}: value has the wrong type: {raw!r}")
     return None
 
 
-def _address_faults(kept: Values) -> typing.Iterator[str]:
+def _address_faults(values: Values) -> typing.Iterator[str]:
     for name in ADDRESSES:
-        flaw = ports.address_fault(kept[name]) if kept.get(name) else None
-        if flaw:
-            yield f"{name}: {flaw}"
+        fault = ports.address_fault(values[name]) if values.get(name) else None
+        if fault:
+            yield f"{name}: {fault}"
     for name in ADDRESS_LISTS:
-        for n, address in enumerate(kept.get(name, ())):
-            flaw = ports.address_fault(address)
-            if flaw:
-                yield f"{name}[{n}]: {flaw}"
+        for index, address in enumerate(values.get(name, ())):
+            fault = ports.address_fault(address)
+            if fault:
+                yield f"{name}[{index}]: {fault}"
 
 
-def _number_faults(kept: Values) -> typing.Iterator[str]:
+def _number_faults(values: Values) -> typing.Iterator[str]:
     for name in DURATIONS:
-        if name in kept and not 0 < kept[name] <= DURATION_MOST_S:
-            yield f"{name}: {kept[name]} is not within 0 to {DURATION_MOST_S} seconds"
+        if name in values and not 0 < values[name] <= MAX_DURATION_S:
+            yield f"{name}: {values[name]} must be greater than 0 and at most {MAX_DURATION_S} seconds"
     for name in COUNTS:
-        if name in kept and kept[name] < 1:
-            yield f"{name}: {kept[name]} is less than 1"
-    for name, most in SHARES.items():
-        if name in kept and not 0 <= kept[name] <= most:
-            yield f"{name}: not within 0 to {most}"
+        if name in values and values[name] < 1:
+            yield f"{name}: {values[name]} must be at least 1"
+    for name, maximum in SHARES.items():
+        if name in values and not 0 <= values[name] <= maximum:
+            yield f"{name}: must be from 0 to {maximum}"
     for name in NOT_NEGATIVE:
-        if name in kept and kept[name] < 0:
-            yield f"{name}: less than 0"
+        if name in values and values[name] < 0:
+            yield f"{name}: must not be negative"
 
 
-def _choice_faults(kept: Values) -> typing.Iterator[str]:
+def _choice_faults(values: Values) -> typing.Iterator[str]:
     for name, choices in CHOICES.items():
-        if name in kept and kept[name] not in choices:
-            yield f"{name}: not one of {', '.join(choices)}"
+        if name in values and values[name] not in choices:
+            yield f"{name}: must be one of {', '.join(choices)}"
--- a/packages/settings/src/dykeswitch/settings/model.py
+++ b/packages/settings/src/dykeswitch/settings/model.py
@@ -1,11 +1,11 @@
-"""What one process is told about itself and its bounds."""
+"""The settings of one process, and the durations that derive from them."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """What one process is told about itself and its bounds."""
+    """The settings of one process; each is described in docs/settings.md."""
 
     name: str = ""
     zone: str = ""
@@ -18,7 +18,7 @@
     seeds: tuple[str, ...] = ()
     founders: tuple[str, ...] = ()
     data: str = ""
-    # The bounds of the brief.
+    # The time bounds that are required of the gateway.
     recover_s: float = 15.0
     drain_s: float = 2.0
     grace_s: float = 6.0
@@ -45,118 +45,121 @@
     far_share: float = 0.3
     log_level: str = "info"
 
-    # Constants as ratios to the bounds.
+    # Durations that derive from the bounds.
 
     @property
     def mark_s(self) -> float:
-        """How long a mark lasts; the source has it equal to the probe interval."""
+        """How long a mark on an endpoint is valid; required to equal the probe interval."""
         return self.recover_s / 3
 
     @property
     def probe_interval_s(self) -> float:
-        """How often each endpoint is probed."""
+        """Interval at which each endpoint is probed."""
         return self.mark_s
 
     @property
     def probe_timeout_s(self) -> float:
-        """How long a probe may take."""
+        """Timeout of a probe."""
         return self.mark_s / 5
 
     @property
     def connect_timeout_s(self) -> float:
-        """How long opening a connection may take."""
+        """Timeout for opening a connection."""
         return self.drain_s / 4
 
     @property
     def clock_gap_s(self) -> float:
-        """A gap in our own clock that counts as having been frozen."""
+        """Gap between ticks of the process's clock from which on it is taken to have been frozen."""
         return self.drain_s / 4
 
     @property
     def tick_interval_s(self) -> float:
-        """How often our own clock is watched for a gap."""
+        """Interval at which the process's clock is checked for gaps."""
         return self.clock_gap_s / 5
 
     @property
     def shuffle_s(self) -> float:
-        """How often views are shuffled with a neighbour."""
+        """Interval at which a member exchanges a part of its view with a neighbour."""
         return self.drain_s / 4
 
     @property
     def call_timeout_s(self) -> float:
-        """How long one call to a member may take."""
+        """Timeout of a call to another member."""
         return self.drain_s / 2
 
     @property
     def hold_s(self) -> float:
-        """How long a registry holds a poll with no news."""
+        """How long a registry delays the reply to a poll while it has nothing to report (long polling)."""
         return self.drain_s / 2
 
     @property
     def sweep_interval_s(self) -> float:
-        """How often what has run out is swept."""
+        """Interval at which expired entries are removed."""
         return self.drain_s / 4
 
     @property
     def forget_s(self) -> float:
-        """How long the name of an endpoint that left is remembered."""
+        """How long the name of an endpoint that has left is remembered."""
         return self.recover_s * 60
 
     @property
     def dead_after_s(self) -> float:
-        """Silence after which a registry is taken for dead."""
+        """Silence after which a registry is considered dead."""
         return self.recover_s / 5
 
     @property
     def disk_replace_after_s(self) -> float:
-        """Silence after which a seated disk gives way to a blank one that waits."""
+        """Silence after which a disk that has a vote is replaced by a blank one that waits for a vote."""
         return min(self.recover_s / 5, self.catch_up_s / 4)
 
     @property
     def state_wait_s(self) -> float:
-        """How long a store may take to tell its state before it counts as silent."""
+        """How long a store may take to report its state before it counts as silent."""
         return min(self.call_timeout_s, self.catch_up_s / 8)
 
     @property
     def handover_wait_s(self) -> float:
-        """How long a stopping store waits for a sign that its vote is taken over."""
+        """How long a stopping store waits for a sign that its vote is being taken over."""
         return min(self.sweep_interval_s * 3, self.grace_s / 4)
 
     @property
     def max_handover_s(self) -> float:
-        """How long a stopping store whose vote is being taken over goes on answering."""
+        """How long a stopping store continues to answer while its vote is being taken over."""
         return self.grace_s * 0.75
 
     @property
     def loan_duration_s(self) -> float:
-        """How long a loan of extra go's runs: longer than it takes to replace a lost lender."""
+        """Duration of a loan of retry tokens, which is longer than replacing a lost lender takes."""
         return self.extra_window_s * 0.75
 
     @property
     def attempt_counts_s(self) -> float:
-        """How long an extra go counts: a window, and within `clock_gap_s` of being paid for it is sent."""
+        """How long a retry counts against the budget.
+
+        One window, plus `clock_gap_s`, within which a retry is sent after its token was taken.
+        """
         return self.extra_window_s + self.clock_gap_s
 
     @property
     def loan_lapse_s(self) -> float:
-        """How long after a loan's end its coins still count as out, with some slack for clocks."""
+        """How long after a loan's end its tokens still count as lent, with some allowance for clocks."""
         return self.attempt_counts_s + self.clock_gap_s
 
     @property
     def fence_max_age_s(self) -> float:
-        """The age up to which a majority's word on a fence is gone by."""
+        """The age up to which a majority's confirmation of a fence is relied on."""
         return self.dead_after_s
 
     @property
     def takeover_wait_s(self) -> float:
-        """How long a new lender waits: nothing that the old one lent can be out any more."""
+        """How long a new lender waits, so that no token lent by its predecessor can be in use any more."""
         return self.fence_max_age_s + self.loan_duration_s + self.loan_lapse_s
 
     @property
     def isolated_after_s(self) -> float:
-        """Silence of all others after which a proxy is not ready, and bids its callers go.
+        """Silence of all other members after which a proxy is not ready and asks its clients to leave.
 
-        The platform asks each second, so at `drain_s` of silence it has surely asked: from
-        then on who comes all the same is turned away.
+        The platform polls readiness every second, so it has certainly noticed by the time the
+        silence has lasted `drain_s`; requests that still arrive after that are refused.
         """
         return self.drain_s / 2
--- a/packages/settings/src/dykeswitch/settings/sources.py
+++ b/packages/settings/src/dykeswitch/settings/sources.py
@@ -1,4 +1,4 @@
-"""Where settings come from: a TOML file, and flags that win over it."""
+"""Reading of settings from a TOML file and from flags, which override the file."""
 
 import argparse
 import dataclasses
@@ -10,23 +10,23 @@
 from dykeswitch.settings.checks import ADDRESS_LISTS, ALIASES, check, renamed
 from dykeswitch.settings.model import Settings
 
-FLAGS: typing.Final = {"true": True, "false": False}
+BOOLEANS: typing.Final = {"true": True, "false": False}
 
 
 def add_flags(flags: argparse.ArgumentParser) -> None:
-    """A flag for the settings file and one for each setting, by its earlier names too."""
-    flags.add_argument("--settings", metavar="FILE", help="a TOML file of settings; flags win over it")
+    """Add a flag for the settings file and one for each setting, also under its former names."""
+    flags.add_argument("--settings", metavar="FILE", help="a TOML file of settings; flags override it")
     for field in dataclasses.fields(Settings):
         names = [field.name, *(old for old, new in ALIASES.items() if new == field.name)]
-        words = ["--" + name.replace("_", "-") for name in names]
+        options = ["--" + name.replace("_", "-") for name in names]
         if field.name in ADDRESS_LISTS:
-            flags.add_argument(*words, metavar="IP:PORT,...", help=f"default: {field.default}")
+            flags.add_argument(*options, metavar="IP:PORT,...", help=f"default: {field.default}")
         else:
-            flags.add_argument(*words, metavar="VALUE", help=f"default: {field.default!r}")
+            flags.add_argument(*options, metavar="VALUE", help=f"default: {field.default!r}")
 
 
 def gather(program: str, spoken: argparse.Namespace) -> outcome.Success[Settings] | outcome.Failure:
-    """Settings from file and flags; a flag wins over the file."""
+    """Read and check the settings from file and flags; a flag overrides the file."""
     raw: dict[str, object] = {}
     if spoken.settings:
         found = _read(spoken.settings)
@@ -42,7 +42,7 @@
         try:
             raw[field.name] = _value(hints[field.name], text)
         except KeyError:
-            faults.append(f"{field.name}: '{text}' is not true or false")
+            faults.append(f"{field.name}: '{text}' is neither true nor false")
         except ValueError:
             faults.append(f"{field.name}: '{text}' is not a number")
     result = check(program, raw)
@@ -54,21 +54,24 @@
 
 
 def _read(path: str) -> outcome.Success[dict[str, object]] | outcome.Failure:
-    """The values of a settings file, not yet checked."""
+    """Read the values of a settings file without checking them."""
     try:
         return outcome.Success(dict(tomllib.loads(pathlib.Path(path).read_text())))
-    except OSError as flaw:
-        return outcome.failure("bad_settings", faults=(f"{path}: {flaw.strerror}",))
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as flaw:
-        return outcome.failure("bad_settings", faults=(f"{path}: not TOML: {flaw}",))
+    except OSError as error:
+        return outcome.failure("bad_settings", faults=(f"{path}: {error.strerror}",))
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
+        return outcome.failure("bad_settings", faults=(f"{path}: not valid TOML: {error}",))
 
 
 def _value(kind: object, text: str) -> object:
-    """A flag's text as a value; raises KeyError or ValueError where it is none."""
+    """Convert the text of a flag to a value of type `kind`.
+
+    Raises KeyError if it should be a boolean and isn't, ValueError if it should be a number and isn't.
+    """
     if kind is str:
         return text
     if kind is bool:
-        return FLAGS[text.lower()]
+        return BOOLEANS[text.lower()]
     if kind is int:
         return int(text)
     if kind is float:
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -111,7 +111,7 @@
     if isinstance(result, outcome.Success):
         if isinstance(result.value, language.Pause):
             # A window that no calendar holds could never be shown again.
-            assert 0 < result.value.for_s + result.value.in_s <= 2 * grammar.SPAN_MOST
+            assert 0 < result.value.for_s + result.value.in_s <= 2 * grammar.MAX_SPAN_S
     else:
         assert result.code.number == 307
 
