--- a/packages/cli/src/dykeswitch/cli/daemons.py
+++ b/packages/cli/src/dykeswitch/cli/daemons.py
@@ -1,4 +1,4 @@
-"""Running one of the three programs in this process."""
+"""Runs one of the three programs in this process."""
 
 import argparse
 import asyncio
@@ -22,31 +22,31 @@
 
 
 class Daemon(typing.Protocol):
-    """What the three programs have in common."""
+    """The common interface of the three programs."""
 
     async def run(self) -> None:
         """Run until stopped."""
         ...
 
     def stop(self) -> None:
-        """Ask for an orderly stop."""
+        """Request an orderly stop."""
         ...
 
     def reload_settings(self, config: settings.Settings) -> None:
-        """Take up changed settings, as far as a running program can."""
+        """Apply changed settings, as far as a running program can."""
         ...
 
 
-Read = typing.Callable[[], outcome.Success[settings.Settings] | outcome.Failure]
+ReadSettings = typing.Callable[[], outcome.Success[settings.Settings] | outcome.Failure]
 
 
 def _build(program: str, config: settings.Settings, adapter: adapters.Adapter) -> Daemon:
     machine = real.machine()
     log = logs.Log(program, config.name, config.log_level, machine.clock)
     log.bridge()
-    # Ids drawn here must never be drawn twice in a fleet.
+    # Ids made from this must be unique in the whole fleet.
     rng = random.SystemRandom()
-    # Each brought in only where it runs: starting is part of recovery.
+    # Only the program that runs is imported, because start time is part of recovery time.
     if program == "proxy":
         import dykeswitch.proxy.program as proxies
 
@@ -60,37 +60,39 @@
     return stores.Store(config, machine, real.RealDisk(pathlib.Path(config.data)), log, rng)
 
 
-class Told:
-    """What a process is told: read at the start, and again whenever it may have changed."""
+class SettingsSource:
+    """The settings of a process, read at the start and again whenever they may have changed."""
 
-    def __init__(self, read: Read) -> None:
+    def __init__(self, read: ReadSettings) -> None:
         self._read = read
         self.config: settings.Settings | None = None
 
-    def look(self) -> outcome.Success[settings.Settings] | outcome.Failure:
-        """Read it; one that has faults is told of and changes nothing."""
-        found = self._read()
-        if isinstance(found, outcome.Success):
-            self.config = found.value
-        return found
+    def load(self) -> outcome.Success[settings.Settings] | outcome.Failure:
+        """Read the settings; invalid ones are returned as a failure and leave `config` unchanged."""
+        result = self._read()
+        if isinstance(result, outcome.Success):
+            self.config = result.value
+        return result
 
 
-async def _watch(told: Told, daemon: Daemon, config: settings.Settings, sign: asyncio.Event) -> None:
-    """Have the program retold when its settings change, with a signal or without one."""
-    held = config
+async def _watch(
+    source: SettingsSource, daemon: Daemon, config: settings.Settings, changed: asyncio.Event
+) -> None:
+    """Reload changed settings: checked when `changed` is set, and every `drain_s` seconds without it."""
+    current = config
     while True:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(config.drain_s):
-                await sign.wait()
-        sign.clear()
-        found = told.look()
-        if isinstance(found, outcome.Success) and found.value != held:
-            held = found.value
-            daemon.reload_settings(held)
+                await changed.wait()
+        changed.clear()
+        result = source.load()
+        if isinstance(result, outcome.Success) and result.value != current:
+            current = result.value
+            daemon.reload_settings(current)
 
 
-async def _run(program: str, told: Told, adapter: adapters.Adapter) -> None:
-    config = told.config
+async def _run(program: str, source: SettingsSource, adapter: adapters.Adapter) -> None:
+    config = source.config
     assert config is not None
     daemon = _build(program, config, adapter)
     loop = asyncio.get_running_loop()
@@ -99,17 +101,17 @@
     def interrupt() -> None:
         nonlocal interrupts
         interrupts += 1
-        # Who sits at a terminal and asks twice means now.
+        # A second interrupt from a terminal ends the process at once.
         if interrupts > 1:
             os._exit(EXIT_INTERRUPTED)
         daemon.stop()
 
-    # A platform may ask for the same stop again: that is no reason to drop what is at work.
+    # A platform may repeat SIGTERM; unlike a repeated SIGINT, that must not drop requests in progress.
     loop.add_signal_handler(signal.SIGTERM, daemon.stop)
     loop.add_signal_handler(signal.SIGINT, interrupt)
     changed = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, changed.set)
-    watch = asyncio.create_task(_watch(told, daemon, config, changed))
+    watch = asyncio.create_task(_watch(source, daemon, config, changed))
     try:
         await daemon.run()
     finally:
@@ -118,37 +120,37 @@
 
 
 def _ignore_signals(loop: asyncio.AbstractEventLoop) -> None:
-    """A program that is all but over is not ended by a signal: who asked again would see it fail."""
-    for sign in (signal.SIGTERM, signal.SIGHUP):
-        loop.remove_signal_handler(sign)
-        signal.signal(sign, signal.SIG_IGN)
+    """Ignore signals while the process exits, so that a repeated stop doesn't make it exit with an error."""
+    for number in (signal.SIGTERM, signal.SIGHUP):
+        loop.remove_signal_handler(number)
+        signal.signal(number, signal.SIG_IGN)
 
 
-def _plain(code: outcome.Code, text: str) -> int:
+def _fail(code: outcome.Code, text: str) -> int:
     sys.stderr.write(f"dykeswitch: {code.number} {code.tag}: {text}\n")
     return EXIT_SETTINGS
 
 
-def run(program: str, spoken: argparse.Namespace) -> int:
-    """Run a program until it is told to stop; its exit code."""
-    return start(program, lambda: settings.gather(program, spoken), adapters.DefaultAdapter())
+def run(program: str, args: argparse.Namespace) -> int:
+    """Run a program until it is stopped; return its exit code."""
+    return start(program, lambda: settings.gather(program, args), adapters.DefaultAdapter())
 
 
-def start(program: str, read: Read, adapter: adapters.Adapter) -> int:
-    """Run a program by what `read` tells it, through an adapter to the outside; its exit code."""
-    told = Told(read)
-    result = told.look()
+def start(program: str, read: ReadSettings, adapter: adapters.Adapter) -> int:
+    """Run a program with the settings that `read` returns and the given adapter; return its exit code."""
+    source = SettingsSource(read)
+    result = source.load()
     if isinstance(result, outcome.Failure):
-        return _plain(result.code, "; ".join(result.faults))
+        return _fail(result.code, "; ".join(result.faults))
     config = result.value
     if program == "store":
         folder = pathlib.Path(config.data)
         if not folder.is_dir() or not os.access(folder, os.W_OK):
-            return _plain(outcome.RESULT_CODES["no_folder"], config.data)
+            return _fail(outcome.RESULT_CODES["no_folder"], config.data)
     try:
-        asyncio.run(_run(program, told, adapter))
-    except storage.StorageDamageError as flaw:
-        return _plain(outcome.RESULT_CODES["disk_fault"], str(flaw))
-    except OSError as flaw:
-        return _plain(outcome.RESULT_CODES["port_taken"], str(flaw))
+        asyncio.run(_run(program, source, adapter))
+    except storage.StorageDamageError as error:
+        return _fail(outcome.RESULT_CODES["disk_fault"], str(error))
+    except OSError as error:
+        return _fail(outcome.RESULT_CODES["port_taken"], str(error))
     return 0
--- a/packages/cli/src/dykeswitch/cli/early.py
+++ b/packages/cli/src/dykeswitch/cli/early.py
@@ -1,7 +1,7 @@
-"""What has to hold from a process's first moment on; to be imported before anything that takes time.
+"""Ignores SIGHUP while a program starts; to be imported before any module that takes time to load.
 
-Until a program has its own handler, SIGHUP would end it. It says that settings have changed, and
-a program that starts reads them all the same.
+SIGHUP means that settings have changed. By default it would end a process that has not installed
+its handler yet, and a starting program reads its settings anyway.
 """
 
 import signal
--- a/packages/cli/src/dykeswitch/cli/explore.py
+++ b/packages/cli/src/dykeswitch/cli/explore.py
@@ -14,16 +14,16 @@
 import dykeswitch.explorer.scopes as scopes
 import dykeswitch.explorer.trace as traces
 
-WORD: typing.Final = "explore"
+COMMAND: typing.Final = "explore"
 EXIT_CLEAN: typing.Final = 0
 EXIT_VIOLATION: typing.Final = 1
 EXIT_USAGE: typing.Final = 2
 
 
-def add_words(words: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
+def add_commands(subparsers: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
     """The command and its flags."""
     text = "explore orders of messages, faults and restarts of the register; exit code 1 on a violation"
-    sub = words.add_parser(WORD, help=text, description=text)
+    sub = subparsers.add_parser(COMMAND, help=text, description=text)
     names = "; ".join(f"{scope.name}: {scope.text}" for scope in scopes.SCOPES.values())
     sub.add_argument("--scope", choices=list(scopes.SCOPES), help=names)
     sub.add_argument("--seed", type=int, default=1, help="of the random schedules (default 1)")
@@ -36,26 +36,26 @@
     sub.add_argument("--replay", type=pathlib.Path, metavar="TRACE", help=text)
 
 
-def run(spoken: argparse.Namespace) -> int:
+def run(args: argparse.Namespace) -> int:
     """Explore or replay; the exit code."""
-    if spoken.replay is not None:
-        return _replay(spoken.replay)
-    if spoken.scope is None:
+    if args.replay is not None:
+        return _replay(args.replay)
+    if args.scope is None:
         sys.stderr.write("dykeswitch: explore needs --scope or --replay\n")
         return EXIT_USAGE
-    scope = scopes.SCOPES[spoken.scope]
+    scope = scopes.SCOPES[args.scope]
     for form in (traces.SMALL, traces.WIDE):
-        if spoken.form in (form, "both"):
-            figures = _search(scope, form, spoken)
+        if args.form in (form, "both"):
+            figures = _search(scope, form, args)
             if _tell(scope, form, figures) != EXIT_CLEAN:
                 return EXIT_VIOLATION
     return EXIT_CLEAN
 
 
-def _search(scope: scopes.Scope, form: str, spoken: argparse.Namespace) -> executions.Figures:
+def _search(scope: scopes.Scope, form: str, args: argparse.Namespace) -> executions.Figures:
     if form == traces.SMALL:
-        return exhaustive.Exhaustive(scope.small, spoken.seconds, _progress).run()
-    return randomised.Randomised(scope.wide, spoken.seed, _progress).run(spoken.schedules, spoken.seconds)
+        return exhaustive.Exhaustive(scope.small, args.seconds, _progress).run()
+    return randomised.Randomised(scope.wide, args.seed, _progress).run(args.schedules, args.seconds)
 
 
 def _progress(figures: executions.Figures) -> None:
@@ -82,8 +82,8 @@
 def _replay(path: pathlib.Path) -> int:
     try:
         recorded = traces.read(path.read_text())
-    except (OSError, ValueError) as flaw:
-        sys.stderr.write(f"dykeswitch: {path}: {flaw}\n")
+    except (OSError, ValueError) as error:
+        sys.stderr.write(f"dykeswitch: {path}: {error}\n")
         return EXIT_USAGE
     found = replay.replay(recorded.plan, recorded.events)
     if found is None:
--- a/packages/cli/src/dykeswitch/cli/fuzz/__init__.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/__init__.py
@@ -99,8 +99,8 @@
     examples = min(target.examples, ROUND_EXAMPLES)
     try:
         report.cases[target.name] += play(target, _settings(examples, derandomize=False), seed)
-    except Exception as flaw:
-        notes = " ".join(getattr(flaw, "__notes__", ()))
-        report.failures.append(f"{target.name}, seed {seed}: {type(flaw).__name__}: {flaw} {notes}")
+    except Exception as error:
+        notes = " ".join(getattr(error, "__notes__", ()))
+        report.failures.append(f"{target.name}, seed {seed}: {type(error).__name__}: {error} {notes}")
         return False
     return True
--- a/packages/cli/src/dykeswitch/cli/operate.py
+++ b/packages/cli/src/dykeswitch/cli/operate.py
@@ -26,7 +26,7 @@
 WAIT_S: typing.Final = 10.0
 
 
-def add_words(words: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
+def add_commands(words: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
     """The operator's commands."""
     text = "ask or command the fleet in the operators' language"
     sub = words.add_parser("query", help=text, description=text)
@@ -58,11 +58,11 @@
     )
 
 
-def run(spoken: argparse.Namespace) -> int:
+def run(args: argparse.Namespace) -> int:
     """Carry out one command; its exit code."""
-    if spoken.word == "check":
-        return _check(spoken)
-    return asyncio.run(_remote(spoken))
+    if args.word == "check":
+        return _check(args)
+    return asyncio.run(_remote(args))
 
 
 def _say(failure: outcome.Failure) -> int:
@@ -76,16 +76,16 @@
 def _load(path: str) -> outcome.Success[layouts.Layout] | outcome.Failure:
     try:
         data = pathlib.Path(path).read_bytes()
-    except OSError as flaw:
-        return outcome.failure("bad_layout", faults=(f"{path}: {flaw.strerror}",))
+    except OSError as error:
+        return outcome.failure("bad_layout", faults=(f"{path}: {error.strerror}",))
     if path.endswith((".yaml", ".yml")):
         return objects.read(data)
     return layouts.read(data)
 
 
-def _check(spoken: argparse.Namespace) -> int:
-    if spoken.kind == "layout":
-        result = _load(spoken.file)
+def _check(args: argparse.Namespace) -> int:
+    if args.kind == "layout":
+        result = _load(args.file)
         if isinstance(result, outcome.Failure):
             return _say(result)
         layout = result.value
@@ -93,27 +93,27 @@
         return DONE
     flags = argparse.ArgumentParser()
     settings.add_flags(flags)
-    found = settings.gather(spoken.kind, flags.parse_args(["--settings", spoken.file]))
+    found = settings.gather(args.kind, flags.parse_args(["--settings", args.file]))
     if isinstance(found, outcome.Failure):
         return _say(found)
-    print(f"good: settings for a {spoken.kind} named {found.value.name}")
+    print(f"good: settings for a {args.kind} named {found.value.name}")
     return DONE
 
 
-async def _remote(spoken: argparse.Namespace) -> int:
-    addresses = spoken.at.split(",")
+async def _remote(args: argparse.Namespace) -> int:
+    addresses = args.at.split(",")
     flaws = [f"{s}: {f}" for s in addresses if (f := ports.address_fault(s))]
     if flaws:
         return _say(outcome.failure("bad_settings", faults=tuple(flaws)))
-    if spoken.word == "query":
-        return await _query(spoken, addresses)
-    if spoken.word == "fetch":
+    if args.word == "query":
+        return await _query(args, addresses)
+    if args.word == "fetch":
         return await _fetch(addresses)
-    result = _load(spoken.file)
+    result = _load(args.file)
     if isinstance(result, outcome.Failure):
         return _say(result)
-    if spoken.word == "apply":
-        return await _apply(spoken, addresses, result.value)
+    if args.word == "apply":
+        return await _apply(args, addresses, result.value)
     return await _compare(addresses, result.value)
 
 
@@ -126,10 +126,10 @@
     for address in addresses:
         try:
             reply = await web.request(method, address, path, headers, body, WAIT_S)
-        except (OSError, TimeoutError) as flaw:
-            sys.stderr.write(f"dykeswitch: {address}: {flaw or 'no answer in time'}\n")
+        except (OSError, TimeoutError) as error:
+            sys.stderr.write(f"dykeswitch: {address}: {error or 'no answer in time'}\n")
             # What was sent may have been done: another registry must not do it again.
-            if isinstance(flaw, TimeoutError) and method in ("PUT", "POST"):
+            if isinstance(error, TimeoutError) and method in ("PUT", "POST"):
                 return None
             continue
         if reply.status != 503:
@@ -156,18 +156,18 @@
     return UNKNOWN if reply.status == 504 else REFUSED
 
 
-async def _query(spoken: argparse.Namespace, addresses: list[str]) -> int:
+async def _query(args: argparse.Namespace, addresses: list[str]) -> int:
     # A shell takes the quotes off a reason: words that came as one are quoted again.
-    words = spoken.text
+    words = args.text
     if len(words) > 1:
         words = [f'"{w}"' if " " in w and '"' not in w else w for w in words]
-    ask = json.dumps({"text": " ".join(words), "by": spoken.by}).encode()
+    ask = json.dumps({"text": " ".join(words), "by": args.by}).encode()
     reply = await _ask(addresses, "POST", "/v1/query", ask, [("content-type", "application/json")])
     code = _told(reply)
     if code is not None or reply is None:
         return UNREACHED if code is None else code
     page = json.loads(reply.body)
-    if spoken.json:
+    if args.json:
         print(json.dumps(page, indent=2))
         return DONE
     print(language.table(page["columns"], page["rows"]))
@@ -179,10 +179,10 @@
     return DONE
 
 
-async def _apply(spoken: argparse.Namespace, addresses: list[str], layout: layouts.Layout) -> int:
+async def _apply(args: argparse.Namespace, addresses: list[str], layout: layouts.Layout) -> int:
     headers = [("content-type", "application/json")]
-    if spoken.if_version is not None:
-        headers.append(("if-match", f'"{spoken.if_version}"'))
+    if args.if_version is not None:
+        headers.append(("if-match", f'"{args.if_version}"'))
     reply = await _ask(addresses, "PUT", "/v1/layout", layouts.serialize(layout), headers)
     code = _told(reply)
     if code is not None or reply is None:
--- a/packages/cli/src/dykeswitch/cli/soak.py
+++ b/packages/cli/src/dykeswitch/cli/soak.py
@@ -12,17 +12,17 @@
 import dykeswitch.simulator.soak.report as reports
 import dykeswitch.simulator.soak.sizes as sizes
 
-WORD: typing.Final = "soak"
+COMMAND: typing.Final = "soak"
 EXIT_HELD: typing.Final = 0
 EXIT_BROKEN: typing.Final = 1
 EXIT_USAGE: typing.Final = 2
 MINUTE_S: typing.Final = 60.0
 
 
-def add_words(words: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
+def add_commands(subparsers: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
     """The command and its flags."""
     text = "soak a fleet of real processes in series of signals, restarts and changes that overlap"
-    sub = words.add_parser(WORD, help=text, description=text)
+    sub = subparsers.add_parser(COMMAND, help=text, description=text)
     sub.add_argument("shape", nargs="?", choices=list(sizes.SHAPES), default=sizes.PUDDLE.name)
     sub.add_argument("--seed", type=int, default=1, help="what is done is drawn from it alone (default 1)")
     sub.add_argument("--seeds", type=int, default=1, help="so many seeds, one after the other (default 1)")
@@ -38,14 +38,14 @@
     sub.add_argument("--replay", type=pathlib.Path, metavar="FOLDER", help=text)
 
 
-def run(spoken: argparse.Namespace) -> int:
+def run(args: argparse.Namespace) -> int:
     """Soak, or replay; the exit code."""
-    root = spoken.folder or pathlib.Path(tempfile.mkdtemp(prefix="dykeswitch-soak-"))
+    root = args.folder or pathlib.Path(tempfile.mkdtemp(prefix="dykeswitch-soak-"))
     most = sizes.processes_most(sizes.memory())
     try:
-        given = [plans.read(spoken.replay)] if spoken.replay is not None else _drawn(spoken, most)
-    except plans.PlanError as flaw:
-        sys.stderr.write(f"dykeswitch: {flaw}\n")
+        given = [plans.read(args.replay)] if args.replay is not None else _drawn(args, most)
+    except plans.PlanError as error:
+        sys.stderr.write(f"dykeswitch: {error}\n")
         return EXIT_USAGE
     for plan in given:
         needed = sizes.processes(sizes.sized(sizes.SHAPES[plan.shape], plan.nodes))
@@ -56,13 +56,13 @@
     return EXIT_HELD if all(held) else EXIT_BROKEN
 
 
-def _drawn(spoken: argparse.Namespace, most: int) -> list[plans.Plan]:
+def _drawn(args: argparse.Namespace, most: int) -> list[plans.Plan]:
     """The plans of the seeds that were asked for, no larger than the machine bears."""
-    nodes = most if spoken.nodes < 0 else min(spoken.nodes, most)
-    seconds = spoken.minutes * MINUTE_S
+    nodes = most if args.nodes < 0 else min(args.nodes, most)
+    seconds = args.minutes * MINUTE_S
     return [
-        plans.draw(spoken.shape, seed, seconds, spoken.scale, nodes)
-        for seed in range(spoken.seed, spoken.seed + spoken.seeds)
+        plans.draw(args.shape, seed, seconds, args.scale, nodes)
+        for seed in range(args.seed, args.seed + args.seeds)
     ]
 
 
--- a/packages/settings/src/dykeswitch/settings/sources.py
+++ b/packages/settings/src/dykeswitch/settings/sources.py
@@ -25,18 +25,18 @@
             flags.add_argument(*options, metavar="VALUE", help=f"default: {field.default!r}")
 
 
-def gather(program: str, spoken: argparse.Namespace) -> outcome.Success[Settings] | outcome.Failure:
+def gather(program: str, args: argparse.Namespace) -> outcome.Success[Settings] | outcome.Failure:
     """Read and check the settings from file and flags; a flag overrides the file."""
     raw: dict[str, object] = {}
-    if spoken.settings:
-        found = _read(spoken.settings)
+    if args.settings:
+        found = _read(args.settings)
         if isinstance(found, outcome.Failure):
             return found
         raw = renamed(found.value)
     faults: list[str] = []
     hints = typing.get_type_hints(Settings)
     for field in dataclasses.fields(Settings):
-        text = getattr(spoken, field.name)
+        text = getattr(args, field.name)
         if text is None:
             continue
         try:
