--- a/packages/cli/src/dykeswitch/cli/explore.py
+++ b/packages/cli/src/dykeswitch/cli/explore.py
@@ -1,4 +1,4 @@
-"""`dykeswitch explore`: the model checker over the register, its member sets and documents."""
+"""`dykeswitch explore`: model checking of the register, its member sets and the documents."""
 
 import argparse
 import dataclasses
@@ -21,23 +21,25 @@
 
 
 def add_commands(subparsers: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
-    """The command and its flags."""
+    """Add the command and its flags."""
     text = "explore orders of messages, faults and restarts of the register; exit code 1 on a violation"
-    sub = subparsers.add_parser(COMMAND, help=text, description=text)
+    subparser = subparsers.add_parser(COMMAND, help=text, description=text)
     names = "; ".join(f"{scope.name}: {scope.text}" for scope in scopes.SCOPES.values())
-    sub.add_argument("--scope", choices=list(scopes.SCOPES), help=names)
-    sub.add_argument("--seed", type=int, default=1, help="of the random schedules (default 1)")
-    text = "for each of the two searches, the exhaustive and the random one (default 60)"
-    sub.add_argument("--seconds", type=float, default=60.0, help=text)
-    sub.add_argument("--schedules", type=int, default=1000, help="random schedules (default 1000)")
-    text = "'small' searches every order of a small form, 'wide' draws schedules of a wider one"
-    sub.add_argument("--form", choices=[traces.SMALL, traces.WIDE, "both"], default="both", help=text)
-    text = "execute a trace that was printed, and tell what it breaks"
-    sub.add_argument("--replay", type=pathlib.Path, metavar="TRACE", help=text)
+    subparser.add_argument("--scope", choices=list(scopes.SCOPES), help=names)
+    subparser.add_argument("--seed", type=int, default=1, help="seed of the random schedules (default 1)")
+    text = "duration of each of the two searches, the exhaustive and the random one (default 60)"
+    subparser.add_argument("--seconds", type=float, default=60.0, help=text)
+    subparser.add_argument(
+        "--schedules", type=int, default=1000, help="number of random schedules (default 1000)"
+    )
+    text = "'small' searches every order of a small form, 'wide' samples schedules of a larger one"
+    subparser.add_argument("--form", choices=[traces.SMALL, traces.WIDE, "both"], default="both", help=text)
+    text = "execute a printed trace and report what it violates"
+    subparser.add_argument("--replay", type=pathlib.Path, metavar="TRACE", help=text)
 
 
 def run(args: argparse.Namespace) -> int:
-    """Explore or replay; the exit code."""
+    """Explore, or replay a trace; return the exit code."""
     if args.replay is not None:
         return _replay(args.replay)
     if args.scope is None:
@@ -47,7 +49,7 @@
     for form in (traces.SMALL, traces.WIDE):
         if args.form in (form, "both"):
             figures = _search(scope, form, args)
-            if _tell(scope, form, figures) != EXIT_CLEAN:
+            if _report(scope, form, figures) != EXIT_CLEAN:
                 return EXIT_VIOLATION
     return EXIT_CLEAN
 
@@ -64,18 +66,18 @@
     sys.stderr.flush()
 
 
-def _tell(scope: scopes.Scope, form: str, figures: executions.Figures) -> int:
+def _report(scope: scopes.Scope, form: str, figures: executions.Figures) -> int:
     sys.stderr.write("\n")
-    found = figures.violation
+    violation = figures.violation
     page = dataclasses.asdict(dataclasses.replace(figures, violation=None))
     del page["violation"]
     page["seconds"] = round(figures.seconds, 1)
     page["processor_seconds"] = round(figures.processor_seconds, 1)
     print(f"{traces.COMMENT} {scope.name} {form}: {json.dumps(page)}", flush=True)
-    if found is None:
+    if violation is None:
         return EXIT_CLEAN
-    sys.stderr.write(f"{found.what}: shrinking a trace of {len(found.trace)} events\n")
-    print(traces.write(scope, form, replay.shrink(traces.plan_of(scope, form), found)), end="")
+    sys.stderr.write(f"{violation.what}: shrinking a trace of {len(violation.trace)} events\n")
+    print(traces.write(scope, form, replay.shrink(traces.plan_of(scope, form), violation)), end="")
     return EXIT_VIOLATION
 
 
@@ -85,9 +87,9 @@
     except (OSError, ValueError) as error:
         sys.stderr.write(f"dykeswitch: {path}: {error}\n")
         return EXIT_USAGE
-    found = replay.replay(recorded.plan, recorded.events)
-    if found is None:
-        print(f"{traces.COMMENT} nothing is broken")
+    violation = replay.replay(recorded.plan, recorded.events)
+    if violation is None:
+        print(f"{traces.COMMENT} no violation")
         return EXIT_CLEAN
-    print(traces.write(recorded.scope, recorded.form, found), end="")
+    print(traces.write(recorded.scope, recorded.form, violation), end="")
     return EXIT_VIOLATION
--- a/packages/cli/src/dykeswitch/cli/main.py
+++ b/packages/cli/src/dykeswitch/cli/main.py
@@ -35,86 +35,98 @@
         ("registry", "run a registry, which accepts heartbeats, layouts and queries"),
         ("store", "run a store, which keeps the register on disk"),
     ):
-        sub = subparsers.add_parser(program, help=text, description=text)
-        settings.add_flags(sub)
+        subparser = subparsers.add_parser(program, help=text, description=text)
+        settings.add_flags(subparser)
 
 
 def _add_fleet(subparsers: SubParsers) -> None:
     """Add the command that runs a fleet of real processes."""
     text = "start a whole fleet on this machine, send it traffic and print the results"
-    sub = subparsers.add_parser("fleet", help=text, description=text)
-    sub.add_argument("shape", choices=list(shapes.SHAPES))
-    sub.add_argument("--duration", "--span", type=float, default=20.0, help="seconds of traffic (default 20)")
-    sub.add_argument(
+    subparser = subparsers.add_parser("fleet", help=text, description=text)
+    subparser.add_argument("shape", choices=list(shapes.SHAPES))
+    subparser.add_argument(
+        "--duration", "--span", type=float, default=20.0, help="seconds of traffic (default 20)"
+    )
+    subparser.add_argument(
         "--scale", type=float, default=1.0, help="multiplier of the shape's request rate (default 1)"
     )
-    sub.add_argument("--seed", type=int, default=1)
+    subparser.add_argument("--seed", type=int, default=1)
 
 
 def _add_simulate(subparsers: SubParsers) -> None:
     """Add the command for what-if simulations."""
     text = "simulate what clients would see under a script of events, and explain why"
-    sub = subparsers.add_parser("simulate", help=text, description=text)
-    sub.add_argument("shape", choices=list(shapes.SHAPES))
+    subparser = subparsers.add_parser("simulate", help=text, description=text)
+    subparser.add_argument("shape", choices=list(shapes.SHAPES))
     event = "'AT TARGET NAME ACT SPAN', for example '5 zone z1 down 10'; can be repeated"
-    sub.add_argument("--event", action="append", default=[], help=event)
-    sub.add_argument("--set", action="append", default=[], metavar="NAME=VALUE", help="a setting")
-    sub.add_argument("--versus-event", action="append", default=[], help="an event of a second variant")
-    sub.add_argument(
+    subparser.add_argument("--event", action="append", default=[], help=event)
+    subparser.add_argument("--set", action="append", default=[], metavar="NAME=VALUE", help="a setting")
+    subparser.add_argument("--versus-event", action="append", default=[], help="an event of a second variant")
+    subparser.add_argument(
         "--versus-set", action="append", default=[], metavar="NAME=VALUE", help="a setting of it"
     )
-    sub.add_argument("--duration", "--span", type=float, default=30.0, help="seconds of traffic (default 30)")
-    sub.add_argument("--scale", type=float, default=0.2, help="multiplier of the request rate (default 0.2)")
-    sub.add_argument("--seeds", type=int, default=3, help="number of seeds, the same for both variants")
+    subparser.add_argument(
+        "--duration", "--span", type=float, default=30.0, help="seconds of traffic (default 30)"
+    )
+    subparser.add_argument(
+        "--scale", type=float, default=0.2, help="multiplier of the request rate (default 0.2)"
+    )
+    subparser.add_argument("--seeds", type=int, default=3, help="number of seeds, the same for both variants")
     text = "run the first variant on real processes too ('down' events only) and compare both"
-    sub.add_argument("--real", action="store_true", help=text)
+    subparser.add_argument("--real", action="store_true", help=text)
 
 
 def _add_trial(subparsers: SubParsers) -> None:
     """Add the command for trials under faults."""
     text = "inject the required faults in the simulator under many seeds and check each run"
-    sub = subparsers.add_parser("trial", help=text, description=text)
-    sub.add_argument("shape", choices=list(shapes.SHAPES))
+    subparser = subparsers.add_parser("trial", help=text, description=text)
+    subparser.add_argument("shape", choices=list(shapes.SHAPES))
     names = ", ".join(scenarios.FAULTS)
     known_failing = ", ".join(scenarios.KNOWN_FAILING)
-    sub.add_argument(
+    subparser.add_argument(
         "--faults",
         default="all",
         help=f"'all' (each by itself), 'mixed', 'known-failing', or some of: {names};"
         f" known to fail: {known_failing}",
     )
-    sub.add_argument(
+    subparser.add_argument(
         "--real",
         action="store_true",
         help=f"use real processes, with all actions in one run: {', '.join(realtrials.ACTS)}",
     )
-    sub.add_argument("--first-seed", type=int, default=1)
-    sub.add_argument("--seeds", type=int, default=3, help="how many seeds (default 3)")
-    sub.add_argument("--scale", type=float, default=0.1, help="multiplier of the request rate (default 0.1)")
-    sub.add_argument("--workers", type=int, default=8)
+    subparser.add_argument("--first-seed", type=int, default=1)
+    subparser.add_argument("--seeds", type=int, default=3, help="how many seeds (default 3)")
+    subparser.add_argument(
+        "--scale", type=float, default=0.1, help="multiplier of the request rate (default 0.1)"
+    )
+    subparser.add_argument("--workers", type=int, default=8)
 
 
 def _add_worth(subparsers: SubParsers) -> None:
     """Add the command that rates fleets of unequal endpoints."""
     text = "simulate a fleet of unequal endpoints at its full rate and report what it is worth to clients"
-    sub = subparsers.add_parser("worth", help=text, description=text)
-    sub.add_argument("shape", choices=list(shapes.UNEQUAL))
-    sub.add_argument("--first-seed", type=int, default=1)
-    sub.add_argument("--seeds", type=int, default=3, help="how many seeds (default 3)")
-    sub.add_argument("--duration", "--span", type=float, default=20.0, help="seconds of traffic (default 20)")
+    subparser = subparsers.add_parser("worth", help=text, description=text)
+    subparser.add_argument("shape", choices=list(shapes.UNEQUAL))
+    subparser.add_argument("--first-seed", type=int, default=1)
+    subparser.add_argument("--seeds", type=int, default=3, help="how many seeds (default 3)")
+    subparser.add_argument(
+        "--duration", "--span", type=float, default=20.0, help="seconds of traffic (default 20)"
+    )
     text = "fraction of the fleet to simulate, at the same load (default 1, all of it)"
-    sub.add_argument("--part", type=float, default=1.0, help=text)
+    subparser.add_argument("--part", type=float, default=1.0, help=text)
     text = "factor by which there are fewer requests and each takes longer (default 1)"
-    sub.add_argument("--slower", type=float, default=1.0, help=text)
-    sub.add_argument("--workers", type=int, default=3)
+    subparser.add_argument("--slower", type=float, default=1.0, help=text)
+    subparser.add_argument("--workers", type=int, default=3)
 
 
 def _add_fuzz(subparsers: SubParsers) -> None:
     """Add the fuzzing command."""
     text = "send malformed frames, bodies and responses to the programs until the time is over"
-    sub = subparsers.add_parser("fuzz", help=text, description=text)
-    sub.add_argument("--seconds", type=float, default=60.0, help="duration (default 60)")
-    sub.add_argument("--seed", type=int, default=1, help="the same seed gives the same cases (default 1)")
+    subparser = subparsers.add_parser("fuzz", help=text, description=text)
+    subparser.add_argument("--seconds", type=float, default=60.0, help="duration (default 60)")
+    subparser.add_argument(
+        "--seed", type=int, default=1, help="the same seed gives the same cases (default 1)"
+    )
 
 
 def parser() -> argparse.ArgumentParser:
--- a/packages/cli/src/dykeswitch/cli/operate.py
+++ b/packages/cli/src/dykeswitch/cli/operate.py
@@ -1,4 +1,4 @@
-"""What an operator does from the command line."""
+"""The operator's commands: query, apply, fetch, compare and check."""
 
 import argparse
 import asyncio
@@ -18,59 +18,62 @@
 import dykeswitch.settings as settings
 
 # Exit codes: docs/result-codes.md lists them.
-DONE: typing.Final = 0
-REFUSED: typing.Final = 1
-MISUSED: typing.Final = 2
-UNREACHED: typing.Final = 3
-UNKNOWN: typing.Final = 4
-WAIT_S: typing.Final = 10.0
-
-
-def add_commands(words: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
-    """The operator's commands."""
-    text = "ask or command the fleet in the operators' language"
-    sub = words.add_parser("query", help=text, description=text)
-    _add_at(sub)
-    sub.add_argument("text", nargs="+", help="for example: who is paused service pages")
-    sub.add_argument("--json", action="store_true", help="print JSON rather than a table")
-    sub.add_argument("--by", default=getpass.getuser(), help="who asks (default: the user)")
+EXIT_OK: typing.Final = 0
+EXIT_REFUSED: typing.Final = 1
+EXIT_USAGE: typing.Final = 2
+EXIT_UNREACHABLE: typing.Final = 3
+EXIT_UNKNOWN: typing.Final = 4
+REQUEST_TIMEOUT_S: typing.Final = 10.0
+
+
+def add_commands(subparsers: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
+    """Add the operator's commands."""
+    text = "send a query or command to the fleet, in the operators' language"
+    subparser = subparsers.add_parser("query", help=text, description=text)
+    _add_at(subparser)
+    subparser.add_argument("text", nargs="+", help="for example: who is paused service pages")
+    subparser.add_argument("--json", action="store_true", help="print JSON rather than a table")
+    subparser.add_argument("--by", default=getpass.getuser(), help="name of the operator (default: the user)")
     text = "send a layout (JSON, or Kubernetes-style objects in YAML)"
-    sub = words.add_parser("apply", help=text, description=text)
-    _add_at(sub)
-    sub.add_argument("file")
-    sub.add_argument("--if-version", type=int, help="only if this is the newest version")
-    text = "fetch the newest layout"
-    sub = words.add_parser("fetch", help=text, description=text)
-    _add_at(sub)
+    subparser = subparsers.add_parser("apply", help=text, description=text)
+    _add_at(subparser)
+    subparser.add_argument("file")
+    subparser.add_argument("--if-version", type=int, help="only if this is the newest version")
+    text = "print the newest layout"
+    subparser = subparsers.add_parser("fetch", help=text, description=text)
+    _add_at(subparser)
     text = "compare a layout file with the newest layout"
-    sub = words.add_parser("compare", help=text, description=text)
-    _add_at(sub)
-    sub.add_argument("file")
-    text = "check a layout or a settings file without any fleet"
-    sub = words.add_parser("check", help=text, description=text)
-    sub.add_argument("kind", choices=["layout", *settings.PROGRAMS])
-    sub.add_argument("file")
-
-
-def _add_at(sub: argparse.ArgumentParser) -> None:
-    sub.add_argument(
-        "--at", required=True, metavar="IP:PORT,...", help="registries; the first that answers is used"
+    subparser = subparsers.add_parser("compare", help=text, description=text)
+    _add_at(subparser)
+    subparser.add_argument("file")
+    text = "validate a layout or a settings file; needs no fleet"
+    subparser = subparsers.add_parser("check", help=text, description=text)
+    subparser.add_argument("kind", choices=["layout", *settings.PROGRAMS])
+    subparser.add_argument("file")
+
+
+def _add_at(subparser: argparse.ArgumentParser) -> None:
+    subparser.add_argument(
+        "--at",
+        required=True,
+        metavar="IP:PORT,...",
+        help="addresses of registries; the first that responds is used",
     )
 
 
 def run(args: argparse.Namespace) -> int:
-    """Carry out one command; its exit code."""
+    """Run one command and return its exit code."""
     if args.word == "check":
         return _check(args)
     return asyncio.run(_remote(args))
 
 
-def _say(failure: outcome.Failure) -> int:
+def _report_failure(failure: outcome.Failure) -> int:
     sys.stderr.write(f"dykeswitch: {failure.code.number} {failure.code.tag}: {failure.code.text}\n")
     for line in (failure.detail, *failure.faults):
         if line:
             sys.stderr.write(f"  {line}\n")
-    return MISUSED if failure.code.tag == "bad_settings" else REFUSED
+    return EXIT_USAGE if failure.code.tag == "bad_settings" else EXIT_REFUSED
 
 
 def _load(path: str) -> outcome.Success[layouts.Layout] | outcome.Failure:
@@ -87,48 +90,48 @@
     if args.kind == "layout":
         result = _load(args.file)
         if isinstance(result, outcome.Failure):
-            return _say(result)
+            return _report_failure(result)
         layout = result.value
-        print(f"good: {len(layout.services)} services, {len(layout.rules)} rules")
-        return DONE
+        print(f"valid layout: {len(layout.services)} services, {len(layout.rules)} rules")
+        return EXIT_OK
     flags = argparse.ArgumentParser()
     settings.add_flags(flags)
-    found = settings.gather(args.kind, flags.parse_args(["--settings", args.file]))
-    if isinstance(found, outcome.Failure):
-        return _say(found)
-    print(f"good: settings for a {args.kind} named {found.value.name}")
-    return DONE
+    checked = settings.gather(args.kind, flags.parse_args(["--settings", args.file]))
+    if isinstance(checked, outcome.Failure):
+        return _report_failure(checked)
+    print(f"valid settings of a {args.kind} named {checked.value.name}")
+    return EXIT_OK
 
 
 async def _remote(args: argparse.Namespace) -> int:
     addresses = args.at.split(",")
-    flaws = [f"{s}: {f}" for s in addresses if (f := ports.address_fault(s))]
-    if flaws:
-        return _say(outcome.failure("bad_settings", faults=tuple(flaws)))
+    faults = [f"{address}: {fault}" for address in addresses if (fault := ports.address_fault(address))]
+    if faults:
+        return _report_failure(outcome.failure("bad_settings", faults=tuple(faults)))
     if args.word == "query":
         return await _query(args, addresses)
     if args.word == "fetch":
         return await _fetch(addresses)
     result = _load(args.file)
     if isinstance(result, outcome.Failure):
-        return _say(result)
+        return _report_failure(result)
     if args.word == "apply":
         return await _apply(args, addresses, result.value)
     return await _compare(addresses, result.value)
 
 
-async def _ask(
+async def _request(
     addresses: list[str], method: str, path: str, body: bytes, headers: list[tuple[str, str]]
 ) -> ports.Response | None:
-    """The first answer; a registry without a majority is passed over if another has one."""
+    """Return the first response; a registry without a majority (503) is skipped if another has one."""
     web = real.RealWeb()
     last: ports.Response | None = None
     for address in addresses:
         try:
-            reply = await web.request(method, address, path, headers, body, WAIT_S)
+            reply = await web.request(method, address, path, headers, body, REQUEST_TIMEOUT_S)
         except (OSError, TimeoutError) as error:
-            sys.stderr.write(f"dykeswitch: {address}: {error or 'no answer in time'}\n")
-            # What was sent may have been done: another registry must not do it again.
+            sys.stderr.write(f"dykeswitch: {address}: {error or 'no response within the timeout'}\n")
+            # The change may have been made after all, so another registry must not make it again.
             if isinstance(error, TimeoutError) and method in ("PUT", "POST"):
                 return None
             continue
@@ -138,10 +141,10 @@
     return last
 
 
-def _told(reply: ports.Response | None) -> int | None:
-    """The exit code of an answer that is no success."""
+def _exit_code(reply: ports.Response | None) -> int | None:
+    """Report a response that is not a success and return its exit code; None for a success."""
     if reply is None:
-        return UNREACHED
+        return EXIT_UNREACHABLE
     if reply.status == 200:
         return None
     try:
@@ -153,65 +156,65 @@
     for line in [page.get("why"), *page.get("faults", [])]:
         if line:
             sys.stderr.write(f"  {line}\n")
-    return UNKNOWN if reply.status == 504 else REFUSED
+    return EXIT_UNKNOWN if reply.status == 504 else EXIT_REFUSED
 
 
 async def _query(args: argparse.Namespace, addresses: list[str]) -> int:
-    # A shell takes the quotes off a reason: words that came as one are quoted again.
+    # The shell removes the quotes around a reason, so arguments that contain spaces are quoted again.
     words = args.text
     if len(words) > 1:
         words = [f'"{w}"' if " " in w and '"' not in w else w for w in words]
-    ask = json.dumps({"text": " ".join(words), "by": args.by}).encode()
-    reply = await _ask(addresses, "POST", "/v1/query", ask, [("content-type", "application/json")])
-    code = _told(reply)
+    body = json.dumps({"text": " ".join(words), "by": args.by}).encode()
+    reply = await _request(addresses, "POST", "/v1/query", body, [("content-type", "application/json")])
+    code = _exit_code(reply)
     if code is not None or reply is None:
-        return UNREACHED if code is None else code
+        return EXIT_UNREACHABLE if code is None else code
     page = json.loads(reply.body)
     if args.json:
         print(json.dumps(page, indent=2))
-        return DONE
+        return EXIT_OK
     print(language.table(page["columns"], page["rows"]))
     for name, text in page.get("summary", {}).items():
         print(f"{name}: {text}")
     fresh = page["fresh"]
     if not fresh["majority"]:
-        print(f"-- {fresh['by']} has no majority of stores: this may be old")
-    return DONE
+        print(f"-- {fresh['by']} can't reach a majority of stores: the result may be outdated")
+    return EXIT_OK
 
 
 async def _apply(args: argparse.Namespace, addresses: list[str], layout: layouts.Layout) -> int:
     headers = [("content-type", "application/json")]
     if args.if_version is not None:
         headers.append(("if-match", f'"{args.if_version}"'))
-    reply = await _ask(addresses, "PUT", "/v1/layout", layouts.serialize(layout), headers)
-    code = _told(reply)
+    reply = await _request(addresses, "PUT", "/v1/layout", layouts.serialize(layout), headers)
+    code = _exit_code(reply)
     if code is not None or reply is None:
-        return UNREACHED if code is None else code
+        return EXIT_UNREACHABLE if code is None else code
     print(f"version {json.loads(reply.body)['version']}")
-    return DONE
+    return EXIT_OK
 
 
 async def _newest(addresses: list[str]) -> tuple[int | None, ports.Response | None]:
-    reply = await _ask(addresses, "GET", "/v1/layout", b"", [])
-    return _told(reply), reply
+    reply = await _request(addresses, "GET", "/v1/layout", b"", [])
+    return _exit_code(reply), reply
 
 
 async def _fetch(addresses: list[str]) -> int:
     code, reply = await _newest(addresses)
     if code is not None or reply is None:
-        return UNREACHED if code is None else code
+        return EXIT_UNREACHABLE if code is None else code
     sys.stderr.write(f"version {reply.header('dykeswitch-version')}\n")
     print(json.dumps(json.loads(reply.body), indent=2, sort_keys=True))
-    return DONE
+    return EXIT_OK
 
 
 async def _compare(addresses: list[str], layout: layouts.Layout) -> int:
     code, reply = await _newest(addresses)
     if code is not None or reply is None:
-        return UNREACHED if code is None else code
-    one = json.dumps(json.loads(reply.body), indent=2, sort_keys=True).splitlines()
-    two = json.dumps(layout.doc, indent=2, sort_keys=True).splitlines()
+        return EXIT_UNREACHABLE if code is None else code
+    newest_lines = json.dumps(json.loads(reply.body), indent=2, sort_keys=True).splitlines()
+    file_lines = json.dumps(layout.doc, indent=2, sort_keys=True).splitlines()
     newest = f"version {reply.header('dykeswitch-version')}"
-    lines = list(difflib.unified_diff(one, two, newest, "file", lineterm=""))
-    print("\n".join(lines) if lines else f"the same as {newest}")
-    return REFUSED if lines else DONE
+    differences = list(difflib.unified_diff(newest_lines, file_lines, newest, "file", lineterm=""))
+    print("\n".join(differences) if differences else f"no difference from {newest}")
+    return EXIT_REFUSED if differences else EXIT_OK
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -76,7 +76,7 @@
         shape="puddle", seed=1, seeds=1, minutes=1.0, scale=0.3, nodes=0, folder=tmp_path, replay=None
     )
     assert cli_soak.run(spoken) == cli_soak.EXIT_USAGE
-    assert "this machine bears 0 now" in capsys.readouterr().err
+    assert "this machine can run 0 now" in capsys.readouterr().err
 
 
 def _held(memory: int, descriptors: int) -> resources.Held:
