--- a/packages/cli/src/dykeswitch/cli/fuzz/__init__.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/__init__.py
@@ -1,8 +1,8 @@
-"""Fuzzing of all that comes off the wire, by hypothesis: bounded in CI, long by command.
+"""Fuzzing, with hypothesis, of everything that is received from the network.
 
-A target is a strategy for cases and a check that raises when a case breaks something. CI
-plays each target with the same cases every time; `dykeswitch fuzz` plays them by a seed until
-its time is over. Hypothesis is a tool of development, so nothing but this package loads it.
+A target is a strategy that generates cases and a check that raises if a case breaks something.
+CI runs each target with the same few cases every time; `dykeswitch fuzz` generates cases from a
+seed until its time is over. Hypothesis is a development dependency, so only this package imports it.
 """
 
 import dataclasses
@@ -26,23 +26,23 @@
     replies.REPLIES_OF_MEMBERS,
     outside.REQUESTS,
     outside.HEARTBEATS,
-    answers.ANSWERS,
+    answers.RESPONSES,
 )
-# One round of a target in a long run: short enough that all of them get their turn.
+# Cases in one round of a target in a long run; few enough that all targets get their turn.
 ROUND_EXAMPLES: typing.Final = 50
 
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """What a run came to: cases by target, and what failed."""
+    """The result of a run: the number of cases of each target, and the failures."""
 
     seed: int
     cases: dict[str, int] = dataclasses.field(default_factory=dict)
     failures: list[str] = dataclasses.field(default_factory=list)
 
 
-def play(target: targets.Target, settings: hypothesis.settings, seed: int | None = None) -> int:
-    """Play one target; how many cases it had. Raises what the first failing case raised."""
+def run_target(target: targets.Target, settings: hypothesis.settings, seed: int | None = None) -> int:
+    """Run one target and return the number of its cases; raises the error of the first failing case."""
     count = 0
 
     def check(case: typing.Any) -> None:
@@ -57,8 +57,8 @@
     return count
 
 
-def bounded(target: targets.Target) -> hypothesis.settings:
-    """The settings of CI: the same few cases each time."""
+def ci_settings(target: targets.Target) -> hypothesis.settings:
+    """Return the settings of CI, which give the same few cases each time."""
     return _settings(target.examples, derandomize=True)
 
 
@@ -79,26 +79,26 @@
     chosen: typing.Sequence[targets.Target] = TARGETS,
     now: typing.Callable[[], float] = time.monotonic,
 ) -> Report:
-    """Play the targets in turn until the time is over; one that failed is not played again."""
+    """Run the targets in turn until the time is over; a target that has failed isn't run again."""
     report = Report(seed, {target.name: 0 for target in chosen})
-    left = list(chosen)
+    remaining = list(chosen)
     end = now() + seconds
     for turn in itertools.count():
-        for target in list(left):
+        for target in list(remaining):
             if now() >= end:
                 return report
-            if not _round(target, seed + turn, report):
-                left.remove(target)
-        if not left:
+            if not _run_round(target, seed + turn, report):
+                remaining.remove(target)
+        if not remaining:
             return report
-    raise AssertionError("turns have no end")
+    raise AssertionError("unreachable: the loop over turns only ends by return")
 
 
-def _round(target: targets.Target, seed: int, report: Report) -> bool:
-    """Play some cases of one target; whether all of them passed."""
+def _run_round(target: targets.Target, seed: int, report: Report) -> bool:
+    """Run some cases of one target; returns whether all of them passed."""
     examples = min(target.examples, ROUND_EXAMPLES)
     try:
-        report.cases[target.name] += play(target, _settings(examples, derandomize=False), seed)
+        report.cases[target.name] += run_target(target, _settings(examples, derandomize=False), seed)
     except Exception as error:
         notes = " ".join(getattr(error, "__notes__", ()))
         report.failures.append(f"{target.name}, seed {seed}: {type(error).__name__}: {error} {notes}")
--- a/packages/cli/src/dykeswitch/cli/fuzz/answers.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/answers.py
@@ -1,4 +1,7 @@
-"""Answers of endpoints to the parser of a proxy: a whole one is passed on, any other is a flaw."""
+"""Fuzzing of a proxy's parser of endpoint responses.
+
+A complete and valid response is passed on; any other one is an error that ends the connection.
+"""
 
 import asyncio
 import typing
@@ -10,9 +13,9 @@
 import dykeswitch.ports as ports
 import dykeswitch.soundness.connection as connections
 
-EXCHANGE: typing.Final = b"dykeswitch-exchange"
-NAME: typing.Final = b"exchange-1"
-PLAIN: typing.Final = (
+EXCHANGE_HEADER: typing.Final = b"dykeswitch-exchange"
+EXCHANGE_ID: typing.Final = b"exchange-1"
+WHOLE: typing.Final = (
     b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\ndykeswitch-served-by: pages-0\r\n"
     b"dykeswitch-exchange: exchange-1\r\n\r\nfine"
 )
@@ -20,15 +23,15 @@
     b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\ndykeswitch-exchange: exchange-1\r\n\r\n"
     b"2\r\nfi\r\n2\r\nne\r\n0\r\n\r\n"
 )
-EARLY: typing.Final = b"HTTP/1.1 100 Continue\r\n\r\n" + PLAIN
-OTHERS: typing.Final = PLAIN.replace(NAME, b"exchange-0") + PLAIN
-GOOD: typing.Final = [PLAIN, CHUNKED, EARLY, OTHERS, PLAIN + PLAIN]
-# More than one answer to one request can hold in parts.
-PARTS_MOST: typing.Final = 100_000
+AFTER_CONTINUE: typing.Final = b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE
+FOREIGN_FIRST: typing.Final = WHOLE.replace(EXCHANGE_ID, b"exchange-0") + WHOLE
+VALID: typing.Final = [WHOLE, CHUNKED, AFTER_CONTINUE, FOREIGN_FIRST, WHOLE + WHOLE]
+# More than the body of one response can come to in any case.
+MAX_BODY_BYTES: typing.Final = 100_000
 
 
-class _Pieces:
-    """A connection that brings an answer in pieces, and then ends."""
+class _PiecewiseConnection:
+    """A connection that delivers a response in pieces and then ends."""
 
     def __init__(self, pieces: list[bytes]) -> None:
         self._pieces = [piece for piece in pieces if piece]
@@ -51,30 +54,30 @@
         return not self._pieces
 
 
-def _cut(drawn: tuple[bytes, list[int]]) -> list[bytes]:
-    data, places = drawn
-    edges = sorted({0, len(data), *(place % (len(data) + 1) for place in places)})
+def _split(sample: tuple[bytes, list[int]]) -> list[bytes]:
+    data, positions = sample
+    edges = sorted({0, len(data), *(position % (len(data) + 1) for position in positions)})
     return [data[start:end] for start, end in zip(edges, edges[1:])]
 
 
 def _check(pieces: list[bytes]) -> None:
     async def main() -> None:
-        raw = typing.cast(ports.Connection, _Pieces(list(pieces)))
-        connection = connections.EndpointConnection("pages-0", "10.0.0.1:80", raw, 0.0, EXCHANGE)
-        headers = [(b"host", b"x"), (EXCHANGE, NAME)]
+        raw = typing.cast(ports.Connection, _PiecewiseConnection(list(pieces)))
+        connection = connections.EndpointConnection("pages-0", "10.0.0.1:80", raw, 0.0, EXCHANGE_HEADER)
+        headers = [(b"host", b"x"), (EXCHANGE_HEADER, EXCHANGE_ID)]
         body = b""
         try:
             head = await connection.send("GET", b"/", headers, b"")
             async for part in connection.parts():
                 body += part
-                assert len(body) < PARTS_MOST
+                assert len(body) < MAX_BODY_BYTES
         except connections.EndpointConnectionError:
-            # Whatever is odd ends the connection: nothing of it is read for another exchange.
+            # An invalid response ends the connection, so that none of it is read for another exchange.
             assert connection.closed
             return
         assert 100 <= head.status < 1000
-        named = head.get(EXCHANGE)
-        assert named is None or named == NAME
+        exchange_id = head.get(EXCHANGE_HEADER)
+        assert exchange_id is None or exchange_id == EXCHANGE_ID
         length = head.get(b"content-length")
         if length is not None and head.get(b"transfer-encoding") is None and head.status not in (204, 304):
             assert len(body) == int(length)
@@ -83,9 +86,11 @@
 
 
 PIECES: typing.Final = strategies.tuples(
-    strategies.sampled_from(GOOD).flatmap(lambda good: strategies.just(good) | cases.spoilt_bytes(good))
+    strategies.sampled_from(VALID).flatmap(
+        lambda valid: strategies.just(valid) | cases.corrupted_bytes(valid)
+    )
     | strategies.binary(max_size=200),
     strategies.lists(strategies.integers(0, 10_000), max_size=6),
-).map(_cut)
+).map(_split)
 
-ANSWERS: typing.Final = targets.Target("endpoint_answers", PIECES, _check, 300)
+RESPONSES: typing.Final = targets.Target("endpoint_answers", PIECES, _check, 300)
--- a/packages/cli/src/dykeswitch/cli/fuzz/cases.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/cases.py
@@ -1,4 +1,4 @@
-"""Strategies that several targets share: odd values, and good bodies with some of them put in."""
+"""Strategies shared by several targets: unusual values, and valid bodies corrupted by them."""
 
 import math
 import typing
@@ -9,7 +9,7 @@
 Fields = dict[str, typing.Any]
 FieldsStrategy = strategies.SearchStrategy[Fields]
 
-ODD: typing.Final[strategies.SearchStrategy[typing.Any]] = strategies.sampled_from(
+ODD_VALUES: typing.Final[strategies.SearchStrategy[typing.Any]] = strategies.sampled_from(
     [
         math.nan,
         math.inf,
@@ -30,14 +30,14 @@
         1.5,
     ]
 )
-PLAIN: typing.Final[strategies.SearchStrategy[typing.Any]] = strategies.recursive(
+ANY_VALUES: typing.Final[strategies.SearchStrategy[typing.Any]] = strategies.recursive(
     strategies.none()
     | strategies.booleans()
     | strategies.integers(-(2**64), 2**64)
     | strategies.floats()
     | strategies.text(max_size=20)
     | strategies.binary(max_size=20)
-    | ODD,
+    | ODD_VALUES,
     lambda inner: (
         strategies.lists(inner, max_size=4)
         | strategies.dictionaries(strategies.text(max_size=8), inner, max_size=4)
@@ -46,8 +46,8 @@
 )
 
 
-def can_be_framed(body: object) -> bool:
-    """Whether a body can be sent at all: some of what is drawn has no encoding."""
+def is_encodable(body: object) -> bool:
+    """Whether a body can be sent at all; some generated values can't be encoded."""
     try:
         cbor2.dumps(body)
     except (ValueError, cbor2.CBOREncodeError, UnicodeEncodeError):
@@ -55,29 +55,29 @@
     return True
 
 
-def spoilt(good: Fields) -> FieldsStrategy:
-    """A body that is good but for a field or two, or lacks one."""
-    names = strategies.sampled_from([*good, "other"])
-    replaced = strategies.dictionaries(names, PLAIN, max_size=2).map(lambda odd: {**good, **odd})
-    lacking = strategies.sampled_from(list(good) or ["none"]).map(
-        lambda name: {key: value for key, value in good.items() if key != name}
+def corrupted(valid: Fields) -> FieldsStrategy:
+    """Generate bodies that are valid except for up to two replaced or added fields, or one missing field."""
+    names = strategies.sampled_from([*valid, "other"])
+    replaced = strategies.dictionaries(names, ANY_VALUES, max_size=2).map(lambda fields: {**valid, **fields})
+    lacking = strategies.sampled_from(list(valid) or ["none"]).map(
+        lambda name: {key: value for key, value in valid.items() if key != name}
     )
     return replaced | lacking
 
 
-def spoilt_bytes(good: bytes) -> strategies.SearchStrategy[bytes]:
-    """Bytes of which some are changed, cut out, doubled or put in."""
+def corrupted_bytes(valid: bytes) -> strategies.SearchStrategy[bytes]:
+    """Generate copies of `valid` in which some bytes are changed, removed, duplicated or inserted."""
     edit = strategies.tuples(
         strategies.sampled_from(["change", "cut", "double", "insert"]),
-        strategies.integers(0, len(good)),
+        strategies.integers(0, len(valid)),
         strategies.integers(0, 255),
         strategies.sampled_from([b"\r\n", b"\x00", b"\xff" * 9, b"X" * 5000]),
     )
-    return strategies.lists(edit, min_size=1, max_size=4).map(lambda edits: _edited(good, edits))
+    return strategies.lists(edit, min_size=1, max_size=4).map(lambda edits: _apply_edits(valid, edits))
 
 
-def _edited(good: bytes, edits: list[tuple[str, int, int, bytes]]) -> bytes:
-    data = bytearray(good)
+def _apply_edits(valid: bytes, edits: list[tuple[str, int, int, bytes]]) -> bytes:
+    data = bytearray(valid)
     for kind, place, number, part in edits:
         at = min(place, max(0, len(data) - 1))
         if kind == "change" and data:
--- a/packages/cli/src/dykeswitch/cli/fuzz/fleet.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/fleet.py
@@ -1,4 +1,4 @@
-"""A small simulated fleet to be sent odd things, and the check that it took no harm."""
+"""A small simulated fleet as the target of malformed input, and the check that it still works."""
 
 import asyncio
 import pathlib
@@ -15,19 +15,19 @@
 
 
 async def started(scratch: pathlib.Path) -> fleets.SimFleet:
-    """A fleet that serves."""
+    """Start a fleet and return it when it serves requests."""
     fleet = fleets.SimFleet(SHAPE, SEED, scratch)
     await fleet.start()
     return fleet
 
 
 async def check_unharmed(fleet: fleets.SimFleet, version: int) -> None:
-    """All programs run, the layout is the one that was put, and requests are replied to."""
+    """Check that all programs run, the layout has the given version, and requests are answered."""
     await asyncio.sleep(SETTLE_S)
     for node in fleet.world.nodes.values():
         assert not node.crash, node.crash
         assert node.up, node.name
-    got = await fleet.get(fleet.cores[0])
-    assert (got.status, got.version) == (200, version)
+    layout = await fleet.get(fleet.cores[0])
+    assert (layout.status, layout.version) == (200, version)
     request = await fleet.clients.send_request(SHAPE.services[0], fleet.edges[0].web)
     assert request.status == 200
--- a/packages/cli/src/dykeswitch/cli/fuzz/outside.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/outside.py
@@ -1,4 +1,7 @@
-"""What operators and endpoints send to a registry: refused as documented, never a failure."""
+"""Fuzzing of a registry with requests of operators and endpoints.
+
+Invalid requests must be refused as documented and never cause an internal error.
+"""
 
 import json
 import pathlib
@@ -14,7 +17,7 @@
 import dykeswitch.registry.endpoints as endpoints
 import dykeswitch.simulator.loop as loops
 
-CALL_S: typing.Final = 10.0
+REQUEST_TIMEOUT_S: typing.Final = 10.0
 HEARTBEAT: typing.Final[cases.Fields] = {
     "id": "a",
     "service": "s",
@@ -36,7 +39,7 @@
 
 
 class Request(typing.NamedTuple):
-    """One call of the registry's web interface."""
+    """One request to the registry's HTTP interface."""
 
     method: str
     path: str
@@ -51,19 +54,19 @@
         return b"{"
 
 
-def _spoilt_json(good: cases.Fields) -> strategies.SearchStrategy[bytes]:
-    return cases.spoilt(good).map(_json) | cases.spoilt_bytes(_json(good))
+def _corrupted_json(valid: cases.Fields) -> strategies.SearchStrategy[bytes]:
+    return cases.corrupted(valid).map(_json) | cases.corrupted_bytes(_json(valid))
 
 
-def _requests(method: str, path: str, good: cases.Fields) -> strategies.SearchStrategy[Request]:
+def _requests(method: str, path: str, valid: cases.Fields) -> strategies.SearchStrategy[Request]:
     match = strategies.sampled_from(["", '"1"', "*", '"x"', '"-1"', f'"{2**70}"'])
     return strategies.builds(
-        Request, strategies.just(method), strategies.just(path), _spoilt_json(good), match
+        Request, strategies.just(method), strategies.just(path), _corrupted_json(valid), match
     )
 
 
 REQUEST: typing.Final = (
-    # A service that nobody serves: a layout in good order would be taken, which is no fault.
+    # These refer to a service that doesn't exist: a valid layout would be accepted, which isn't a failure.
     _requests("PUT", "/v1/layout", {**LAYOUT, "rules": [{**RULE, "service": "nobody"}]})
     | _requests("POST", "/v1/query", QUERY)
     | _requests("POST", "/v1/beat", {**HEARTBEAT, "service": "nobody"})
@@ -75,12 +78,14 @@
         fleet = await fleets.started(scratch)
         version = fleet.puts[-1].version
         web = fleet.cores[0].web
-        for ask in requests:
-            headers = [("if-match", ask.match)] if ask.match else []
-            reply = await fleet.outside.web.request(ask.method, web, ask.path, headers, ask.body, CALL_S)
-            assert reply.status != 500, (ask, reply.body)
-            if ask.method == "PUT" and reply.status == 200:
-                version = int(json.loads(reply.body)["version"])
+        for request in requests:
+            headers = [("if-match", request.match)] if request.match else []
+            response = await fleet.outside.web.request(
+                request.method, web, request.path, headers, request.body, REQUEST_TIMEOUT_S
+            )
+            assert response.status != 500, (request, response.body)
+            if request.method == "PUT" and response.status == 200:
+                version = int(json.loads(response.body)["version"])
         if version == fleet.puts[-1].version:
             await fleets.check_unharmed(fleet, version)
 
@@ -92,7 +97,7 @@
     result = endpoints.read_heartbeat(raw)
     if isinstance(result, outcome.Failure):
         assert result.code.tag == "bad_beat"
-        # What was sent may stand in what is told, and must then be fit to be sent.
+        # The error report may quote what was sent, and must be encodable even then.
         json.dumps(result.page()).encode()
         return
     heartbeat = result.value
@@ -105,5 +110,5 @@
     "operator_requests", strategies.lists(REQUEST, min_size=12, max_size=40), _check_requests, 4
 )
 HEARTBEATS: typing.Final = targets.Target(
-    "heartbeats", cases.PLAIN | cases.spoilt(HEARTBEAT), _check_heartbeat, 300
+    "heartbeats", cases.ANY_VALUES | cases.corrupted(HEARTBEAT), _check_heartbeat, 300
 )
--- a/packages/cli/src/dykeswitch/cli/fuzz/registry.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/registry.py
@@ -1,4 +1,4 @@
-"""Calls between members to a registry of a whole simulated fleet, in rounds of several bodies."""
+"""Fuzzing of a registry in a simulated fleet with calls of other members, several per case."""
 
 import pathlib
 import tempfile
@@ -12,37 +12,37 @@
 import dykeswitch.frames as frames
 import dykeswitch.simulator.loop as loops
 
-CALL_S: typing.Final = 3.0
-HEAD: typing.Final[cases.Fields] = {"name": "m", "boot": "b", "seq": 3, "wall": 1.8e9}
+CALL_TIMEOUT_S: typing.Final = 3.0
+CALL_HEADER: typing.Final[cases.Fields] = {"name": "m", "boot": "b", "seq": 3, "wall": 1.8e9}
 FENCE: typing.Final = ["fence", "1", 5, "r", {"owner": "o/1", "fence": 3}, 5.0]
-PAPER: typing.Final = ["paper", "layout", 5, "r", {"version": 1}, 5.0]
+DOCUMENT: typing.Final = ["paper", "layout", 5, "r", {"version": 1}, 5.0]
 MARK_FIELDS: typing.Final = {"reason": "x", "by": "r", "clear": False, "slot": 1, "fence": 2}
 MARK: typing.Final = ["mark", "down:e", 5, "r", MARK_FIELDS, 5.0]
-ASK: typing.Final = ["pages", 0, 3, 0, 0]
-GOOD: typing.Final[list[cases.Fields]] = [
+LOAN_REQUEST: typing.Final = ["pages", 0, 3, 0, 0]
+VALID: typing.Final[list[cases.Fields]] = [
     {
         "kind": "shuffle",
-        **HEAD,
+        **CALL_HEADER,
         "items": [FENCE],
         "view": [["m", "proxy", "10.9.9.9:1", 0]],
         "cursor": ["", 0],
     },
-    {"kind": "tell", **HEAD, "items": [MARK, PAPER]},
-    {"kind": "poll", **HEAD, "items": [], "cursor": ["", 0], "hold": 0.0},
+    {"kind": "tell", **CALL_HEADER, "items": [MARK, DOCUMENT]},
+    {"kind": "poll", **CALL_HEADER, "items": [], "cursor": ["", 0], "hold": 0.0},
     {"kind": "confirm", "name": "m"},
     {"kind": "paper", "name": "layout", "want": 1, "name_of": "m"},
-    {"kind": "borrow", "who": "m/b", "turn": 1, "asks": [ASK]},
+    {"kind": "borrow", "who": "m/b", "turn": 1, "asks": [LOAN_REQUEST]},
     {"kind": "loans"},
     {"kind": "seen"},
     {"kind": "spans", "names": ["pages-0"]},
     {"kind": "heard", "names": ["pages-0"]},
 ]
-# Entries with one odd part, too: what is handed round must be checked by each member.
+# Timeline entries with one corrupted part: entries are gossiped, so each member must validate them.
 ENTRIES: typing.Final = strategies.tuples(
-    strategies.sampled_from([FENCE, PAPER, MARK]), strategies.integers(0, 5), cases.PLAIN
-).map(lambda drawn: [*drawn[0][: drawn[1]], drawn[2], *drawn[0][drawn[1] + 1 :]])
-BODIES: typing.Final = strategies.sampled_from(GOOD).flatmap(cases.spoilt) | ENTRIES.map(
-    lambda entry: {"kind": "tell", **HEAD, "items": [entry]}
+    strategies.sampled_from([FENCE, DOCUMENT, MARK]), strategies.integers(0, 5), cases.ANY_VALUES
+).map(lambda sample: [*sample[0][: sample[1]], sample[2], *sample[0][sample[1] + 1 :]])
+BODIES: typing.Final = strategies.sampled_from(VALID).flatmap(cases.corrupted) | ENTRIES.map(
+    lambda entry: {"kind": "tell", **CALL_HEADER, "items": [entry]}
 )
 
 
@@ -52,10 +52,10 @@
         version = fleet.puts[-1].version
         call_client = frames.CallClient(fleet.outside.net)
         for body in bodies:
-            if not isinstance(body.get("kind"), str) or not cases.can_be_framed(body):
+            if not isinstance(body.get("kind"), str) or not cases.is_encodable(body):
                 continue
             for address in fleet.member_addresses[:1]:
-                await call_client.call(address, body["kind"], body, CALL_S)
+                await call_client.call(address, body["kind"], body, CALL_TIMEOUT_S)
         await fleets.check_unharmed(fleet, version)
 
     with tempfile.TemporaryDirectory() as folder:
--- a/packages/cli/src/dykeswitch/cli/fuzz/replies.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/replies.py
@@ -1,4 +1,4 @@
-"""Odd replies of a registry to the calls of other members, some of which are frozen and woken."""
+"""Fuzzing of members with malformed replies of a registry; a proxy is also frozen and resumed."""
 
 import asyncio
 import pathlib
@@ -15,52 +15,52 @@
 import dykeswitch.simulator.fleet as simulated
 import dykeswitch.simulator.loop as loops
 
-HEAD: typing.Final[cases.Fields] = {"name": "core0", "boot": "b", "seq": 3, "wall": 1.8e9}
-NEWS: typing.Final = ["paper", "layout", 1, "core0", {"version": 1}, 5.0]
-# A good reply to each kind of call.
-GOOD: typing.Final[dict[str, cases.Fields]] = {
-    "poll": {**HEAD, "items": [NEWS], "backed": True},
-    "shuffle": {**HEAD, "items": [], "view": [["m", "proxy", "10.9.9.9:1", 0]], "told": True},
-    "tell": HEAD,
+CALL_HEADER: typing.Final[cases.Fields] = {"name": "core0", "boot": "b", "seq": 3, "wall": 1.8e9}
+DOCUMENT_ENTRY: typing.Final = ["paper", "layout", 1, "core0", {"version": 1}, 5.0]
+# A valid reply to each kind of call.
+VALID: typing.Final[dict[str, cases.Fields]] = {
+    "poll": {**CALL_HEADER, "items": [DOCUMENT_ENTRY], "backed": True},
+    "shuffle": {**CALL_HEADER, "items": [], "view": [["m", "proxy", "10.9.9.9:1", 0]], "told": True},
+    "tell": CALL_HEADER,
     "confirm": {"items": []},
     "paper": {"version": 1, "packed": b""},
     "borrow": {"loans": [[1, 1]], "span": 3.0},
     "state": {"disk": "d", "blank": False, "seated": True, "set": [1, [[["d", "10.9.9.9:1"]]]]},
 }
-REPLIES: typing.Final = strategies.sampled_from(sorted(GOOD)).flatmap(
-    lambda kind: strategies.tuples(strategies.just(kind), cases.spoilt(GOOD[kind]))
+REPLIES: typing.Final = strategies.sampled_from(sorted(VALID)).flatmap(
+    lambda kind: strategies.tuples(strategies.just(kind), cases.corrupted(VALID[kind]))
 )
-# For how long each odd reply is given, and programs stand still.
-ODD_S: typing.Final = 1.2
+# How long each malformed reply is given, and how long a proxy is frozen.
+ODD_REPLY_S: typing.Final = 1.2
 FROZEN_S: typing.Final = 2.5
 
 
-class _OddRegistry:
-    """Takes the place of a registry's listener and gives odd replies to some kinds of calls."""
+class _FaultyRegistry:
+    """Replaces the listener of a registry and gives malformed replies to calls of one kind."""
 
     def __init__(self, fleet: simulated.SimFleet) -> None:
         self._listeners = fleet.world.links.listeners
         core = fleet.cores[0]
         self._address = core.member
-        self._host, self._sound = self._listeners[self._address]
+        self._host, self._serve = self._listeners[self._address]
         self._links = fleet.world.links
         self._name = core.registry.name
         registry = core.registry.daemon
         self._kinds: dict[str, frames.Handler] = {**registry.members.kinds(), **registry.relay.kinds()}
 
-    def answer(self, kind: str, body: cases.Fields) -> None:
-        """Give this reply to calls of a kind; calls of other kinds are answered as ever."""
+    def reply_with(self, kind: str, body: cases.Fields) -> None:
+        """Reply with this body to calls of a kind; calls of other kinds are answered as usual."""
 
-        async def odd(asked: frames.Body) -> frames.Result:
+        async def malformed(request: frames.Body) -> frames.Result:
             return outcome.Success(dict(body))
 
-        server = frames.CallServer({**self._kinds, kind: odd}, lambda event, what: None)
+        server = frames.CallServer({**self._kinds, kind: malformed}, lambda event, what: None)
         self._listeners[self._address] = (self._host, server.serve)
         self._links.reset_host(self._name)
 
     def restore(self) -> None:
-        """Answer as ever."""
-        self._listeners[self._address] = (self._host, self._sound)
+        """Answer all calls as usual again."""
+        self._listeners[self._address] = (self._host, self._serve)
         self._links.reset_host(self._name)
 
 
@@ -68,19 +68,19 @@
     async def main(scratch: pathlib.Path) -> None:
         fleet = await fleets.started(scratch)
         version = fleet.puts[-1].version
-        odd = _OddRegistry(fleet)
+        faulty = _FaultyRegistry(fleet)
         for number, (kind, body) in enumerate(replies):
-            if not cases.can_be_framed(body):
+            if not cases.is_encodable(body):
                 continue
-            odd.answer(kind, body)
-            await asyncio.sleep(ODD_S)
+            faulty.reply_with(kind, body)
+            await asyncio.sleep(ODD_REPLY_S)
             if number % 4 == 3:
                 fleet.edges[0].node.freeze()
                 await asyncio.sleep(FROZEN_S)
                 fleet.edges[0].node.thaw()
-                await asyncio.sleep(ODD_S)
-        odd.restore()
-        await asyncio.sleep(ODD_S)
+                await asyncio.sleep(ODD_REPLY_S)
+        faulty.restore()
+        await asyncio.sleep(ODD_REPLY_S)
         await fleets.check_unharmed(fleet, version)
 
     with tempfile.TemporaryDirectory() as folder:
--- a/packages/cli/src/dykeswitch/cli/fuzz/target.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/target.py
@@ -1,4 +1,4 @@
-"""What a target of fuzzing is."""
+"""The type of fuzzing targets."""
 
 import dataclasses
 import typing
@@ -8,10 +8,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """Cases and the check that each of them must pass."""
+    """A strategy that generates cases, and the check that each of them must pass."""
 
     name: str
     cases: strategies.SearchStrategy[typing.Any]
     check: typing.Callable[[typing.Any], None]
-    # How many cases CI plays.
+    # The number of cases that CI runs.
     examples: int
