--- a/packages/cli/src/dykeswitch/cli/fuzz/replies.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/replies.py
@@ -31,7 +31,7 @@
     lambda kind: strategies.tuples(strategies.just(kind), cases.corrupted(VALID[kind]))
 )
 # How long each malformed reply is given, and how long a proxy is frozen.
-ODD_REPLY_S: typing.Final = 1.2
+MALFORMED_REPLY_S: typing.Final = 1.2
 FROZEN_S: typing.Final = 2.5
 
 
@@ -73,14 +73,14 @@
             if not cases.is_encodable(body):
                 continue
             faulty.reply_with(kind, body)
-            await asyncio.sleep(ODD_REPLY_S)
+            await asyncio.sleep(MALFORMED_REPLY_S)
             if number % 4 == 3:
                 fleet.edges[0].node.freeze()
                 await asyncio.sleep(FROZEN_S)
                 fleet.edges[0].node.thaw()
-                await asyncio.sleep(ODD_REPLY_S)
+                await asyncio.sleep(MALFORMED_REPLY_S)
         faulty.restore()
-        await asyncio.sleep(ODD_REPLY_S)
+        await asyncio.sleep(MALFORMED_REPLY_S)
         await fleets.check_unharmed(fleet, version)
 
     with tempfile.TemporaryDirectory() as folder:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, plain lines, and checks without any fleet."""
+"""The command line: exit codes, error messages, and validation without a fleet."""
 
 import argparse
 import dataclasses
@@ -14,7 +14,7 @@
 import dykeswitch.settings as settings
 
 ROOT = pathlib.Path(__file__).parent.parent
-GOOD = {
+VALID = {
     "services": {"pages": {"probe": "/up"}},
     "rules": [{"path": "/", "service": "pages"}, {"path": "/admin", "service": "pages", "methods": ["POST"]}],
 }
@@ -27,14 +27,14 @@
 
 
 def test_a_good_layout_checks(tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert cli.main(["check", "layout", _file(tmp_path, json.dumps(GOOD))]) == 0
+    assert cli.main(["check", "layout", _file(tmp_path, json.dumps(VALID))]) == 0
     assert "1 services, 2 rules" in capsys.readouterr().out
 
 
 def test_every_fault_of_a_layout_is_named_by_its_path(
     tmp_path: pathlib.Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    wrong = {
+    invalid = {
         "services": {"pages": {"probe": "up", "extra": 1}},
         "rules": [
             {"path": "/a", "service": "pagez"},
@@ -43,7 +43,7 @@
         ],
         "more": 1,
     }
-    assert cli.main(["check", "layout", _file(tmp_path, json.dumps(wrong))]) == 1
+    assert cli.main(["check", "layout", _file(tmp_path, json.dumps(invalid))]) == 1
     err = capsys.readouterr().err
     for path in (
         "services.pages.probe",
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ("flags", "told"),
+    ("flags", "message"),
     [
         (["--name", "p"], "member: missing"),
         (["--member", "nowhere"], "is not ip:port"),
@@ -69,11 +69,11 @@
     ],
 )
 def test_bad_settings_are_one_plain_line_and_exit_2(
-    flags: list[str], told: str, capsys: pytest.CaptureFixture[str]
+    flags: list[str], message: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert cli.main(["proxy", *flags]) == 2
     err = capsys.readouterr().err
-    assert told in err
+    assert message in err
     assert err.count("\n") == 1
     assert "601 bad_settings" in err
 
@@ -83,7 +83,7 @@
     assert cli.main(["check", "store", _file(tmp_path, text, "good.toml")]) == 0
     assert cli.main(["check", "store", _file(tmp_path, text + "colour = 1\n", "bad.toml")]) == 2
     assert "colour: unknown setting" in capsys.readouterr().err
-    # The flag wins over the file: the folder it names does not exist.
+    # The flag overrides the file: the error is about the folder that the flag names.
     assert cli.main(["store", "--settings", str(tmp_path / "good.toml"), "--data", "/no/such"]) == 2
     assert "603 no_folder: /no/such" in capsys.readouterr().err
 
@@ -96,12 +96,14 @@
     flags = argparse.ArgumentParser()
     settings.add_flags(flags)
     path = _file(tmp_path, f'{name} = "127.0.0.1:4"\n', "file.toml")
-    words = ["--name=p", "--zone=z", "--member=127.0.0.1:1", "--web=127.0.0.1:2", "--seeds=127.0.0.1:3"]
-    found = settings.gather("proxy", flags.parse_args([*words, "--settings", path]))
+    options = ["--name=p", "--zone=z", "--member=127.0.0.1:1", "--web=127.0.0.1:2", "--seeds=127.0.0.1:3"]
+    found = settings.gather("proxy", flags.parse_args([*options, "--settings", path]))
     assert isinstance(found, outcome.Success) and found.value.listen == "127.0.0.1:4"
-    # A flag wins over the file, under whichever of the two names.
+    # A flag overrides the file under either of the two names.
     for flag in ("--listen", "--ear"):
-        found = settings.gather("proxy", flags.parse_args([*words, "--settings", path, flag, "127.0.0.1:5"]))
+        found = settings.gather(
+            "proxy", flags.parse_args([*options, "--settings", path, flag, "127.0.0.1:5"])
+        )
         assert isinstance(found, outcome.Success) and found.value.listen == "127.0.0.1:5"
 
 
@@ -119,7 +121,7 @@
 
 
 def test_a_command_without_a_fleet_says_so(capsys: pytest.CaptureFixture[str]) -> None:
-    # Nothing listens on port 1 of the loopback.
+    # Nothing listens on port 1 of the loopback interface.
     assert cli.main(["query", "--at", "127.0.0.1:1", "who", "is", "paused"]) == 3
     assert "127.0.0.1:1" in capsys.readouterr().err
 
@@ -143,9 +145,9 @@
     assert rule is not None
     assert (rule.service, rule.writing) == ("pages", True)
     assert result.value.match("other.example", "/a", "POST") is None
-    wrong = objects.read(text.replace("PathPrefix", "Exact").replace("kind: Service", "kind: Pod").encode())
-    assert isinstance(wrong, outcome.Failure)
-    assert [fault.split(":")[0] for fault in wrong.faults] == [
+    invalid = objects.read(text.replace("PathPrefix", "Exact").replace("kind: Service", "kind: Pod").encode())
+    assert isinstance(invalid, outcome.Failure)
+    assert [fault.split(":")[0] for fault in invalid.faults] == [
         "documents[0].kind",
         "documents[1].spec.rules[0].matches[0].path.type",
     ]
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: what it may hold, and that its tests are there."""
+"""The list of tests that are known to fail: its format and limit, and that its tests exist."""
 
 import re
 
@@ -20,7 +20,9 @@
         "tests/test_a.py::test_b",
         "tests/test_a.py::test_b | a cause",
         "tests/test_a.py::test_b | | issue 1",
-        "".join(f"tests/test_a.py::test_{n} | a cause | issue 1\n" for n in range(conftest.MOST + 1)),
+        "".join(
+            f"tests/test_a.py::test_{n} | a cause | issue 1\n" for n in range(conftest.MAX_KNOWN_RED + 1)
+        ),
     ],
     ids=["no cause", "no issue", "an empty cause", "too many"],
 )
@@ -30,8 +32,8 @@
 
 
 def test_every_listed_test_is_there() -> None:
-    """A line for a test that was renamed would excuse nothing, and nobody would see it."""
-    root = conftest.LIST.parent
+    """An entry for a test that has been renamed would have no effect, and nobody would notice."""
+    root = conftest.KNOWN_RED_FILE.parent
     for name in conftest._listed():
         path, _, test = name.partition("::")
         assert f"def {test.partition('[')[0]}(" in (root / path).read_text(), name
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -1,4 +1,4 @@
-"""The operators' language: what it takes, and how it says what is wrong."""
+"""The operators' language: which sentences it accepts, and how it reports errors."""
 
 import pytest
 import syrupy.assertion
@@ -6,7 +6,7 @@
 import dykeswitch.language as language
 import dykeswitch.outcome as outcome
 
-TAKEN = [
+ACCEPTED = [
     "who is paused",
     "who is paused service pages zone z1",
     "show endpoints endpoint pages-0",
@@ -20,7 +20,7 @@
     'pause exports-3 for 2h in 30m because "move"',
     "end pause p1a2b",
 ]
-REFUSED = [
+REJECTED = [
     "",
     "who is",
     "show elephants",
@@ -32,14 +32,14 @@
 ]
 
 
-@pytest.mark.parametrize("text", TAKEN)
+@pytest.mark.parametrize("text", ACCEPTED)
 def test_a_sentence_is_understood(text: str, snapshot: syrupy.assertion.SnapshotAssertion) -> None:
     result = language.parse(text)
     assert isinstance(result, outcome.Success), result
     assert repr(result.value) == snapshot
 
 
-@pytest.mark.parametrize("text", REFUSED)
+@pytest.mark.parametrize("text", REJECTED)
 def test_a_wrong_sentence_gets_the_place_and_what_was_expected(
     text: str, snapshot: syrupy.assertion.SnapshotAssertion
 ) -> None:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line on standard error, by the standard library."""
+"""Logs: one JSON object per line on standard error, written with the standard library."""
 
 import json
 import logging
@@ -46,8 +46,8 @@
     level: str, kept: int, capsys: pytest.CaptureFixture[str]
 ) -> None:
     log = logs.Log("store", "s", level, _Clock())
-    for write in (log.debug, log.info, log.warning, log.error):
-        write("event")
+    for log_at_level in (log.debug, log.info, log.warning, log.error):
+        log_at_level("event")
     assert len(_lines(capsys)) == kept
 
 
@@ -71,10 +71,10 @@
 
 def test_a_hook_takes_the_place_of_the_lines(capsys: pytest.CaptureFixture[str]) -> None:
     log = logs.Log("proxy", "p", "info", _Clock())
-    seen: list[dict[str, typing.Any]] = []
-    log.hook = seen.append
+    events: list[dict[str, typing.Any]] = []
+    log.hook = events.append
     log.info("started")
-    assert [line["event"] for line in seen] == ["started"] and not _lines(capsys)
+    assert [event["event"] for event in events] == ["started"] and not _lines(capsys)
 
 
 def test_no_other_logging_library_is_brought_in() -> None:
--- a/tests/test_packages.py
+++ b/tests/test_packages.py
@@ -1,4 +1,4 @@
-"""The deploy file's list of system packages, held against what build and run use."""
+"""The deploy file's list of system packages, compared with what build and programs use."""
 
 import importlib.metadata
 import pathlib
@@ -10,9 +10,11 @@
 DEPLOY: typing.Final = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
 BUILD: typing.Final = (ROOT / "deploy" / "build").read_text()
 
-# Words of the shell itself.
-SHELL: typing.Final = frozenset("[ break case cd do done else exit export fi for if set then while".split())
-# Part of every system: essential in Debian (dash, coreutils, findutils), or under all else (libc6).
+# Builtins and keywords of the shell.
+SHELL_WORDS: typing.Final = frozenset(
+    "[ break case cd do done else exit export fi for if set then while".split()
+)
+# On every system: essential in Debian (dash, coreutils, findutils), or needed by everything (libc6).
 EVERY_SYSTEM: typing.Final = {
     "sh": "dash",
     **dict.fromkeys(["cat", "cp", "cut", "mkdir", "mv", "rm", "sha256sum", "touch"], "coreutils"),
@@ -21,16 +23,16 @@
 LIBRARIES_OF_EVERY_SYSTEM: typing.Final = frozenset(
     {"libc.so.6", "libm.so.6", "libpthread.so.0", "libdl.so.2", "librt.so.1"}
 )
-# What has to be listed, by the command, Python module or shared library that asks for it.
+# The packages to be listed, by the command, Python module or shared library that needs them.
 COMMANDS: typing.Final = {"python3": "python3"}
 MODULES: typing.Final = {"pip": "python3-pip", "compileall": "python3"}
 LIBRARIES: typing.Final = {"libgcc_s.so.1": "libgcc-s1", "libstdc++.so.6": "libstdc++6"}
 
 
 def _commands(script: str) -> set[str]:
-    """The first word of every simple command in a shell script."""
+    """Return the first word of each simple command in a shell script."""
     lines = "\n".join(line for line in script.splitlines() if not line.lstrip().startswith("#"))
-    # What stands in $(...) is a command too; a branch's word comes before its command.
+    # The content of $(...) is a command too; keywords such as `then` precede the command of a branch.
     parts = re.split(r"[;|\n]|&&|\|\||\$\(", lines.replace("\\\n", " "))
     found = set()
     for part in parts:
@@ -39,40 +41,40 @@
             words.pop(0)
         if words:
             found.add(words[0])
-    return found - SHELL
+    return found - SHELL_WORDS
 
 
 def _modules(text: str) -> set[str]:
-    """Every module that is run with `python3 -m`."""
+    """Return the modules that are run with `python3 -m`."""
     return set(re.findall(r"python3 (?:-\w+ )*-m (\w+)", text))
 
 
-def _started() -> str:
-    """The lines by which build and programs are started."""
+def _start_commands() -> str:
+    """Return the commands that start the build and the programs."""
     return "\n".join([DEPLOY["build"], *(role["run"] for role in DEPLOY["roles"].values())])
 
 
 def _distributions() -> set[str]:
-    """The pinned libraries with all that they need, by name, as this environment has them."""
+    """Return the names of the pinned libraries and all their dependencies in this environment."""
     lines = (ROOT / "requirements.txt").read_text().splitlines()
-    waits = [line.partition("==")[0] for line in lines if line and not line.startswith("#")]
+    pending = [line.partition("==")[0] for line in lines if line and not line.startswith("#")]
     found: set[str] = set()
-    while waits:
-        name = re.sub(r"[-_.]+", "-", waits.pop()).lower()
+    while pending:
+        name = re.sub(r"[-_.]+", "-", pending.pop()).lower()
         if name in found:
             continue
         found.add(name)
-        for need in importlib.metadata.requires(name) or []:
-            if "extra ==" not in need:
-                match = re.match(r"[\w.-]+", need)
+        for requirement in importlib.metadata.requires(name) or []:
+            if "extra ==" not in requirement:
+                match = re.match(r"[\w.-]+", requirement)
                 assert match is not None
                 if _installed(match.group()):
-                    waits.append(match.group())
+                    pending.append(match.group())
     return found
 
 
 def _installed(name: str) -> bool:
-    """Whether it is here; what another interpreter or system would need is not."""
+    """Whether a library is installed; requirements of other interpreters or systems are not."""
     try:
         importlib.metadata.distribution(name)
     except importlib.metadata.PackageNotFoundError:
@@ -81,7 +83,7 @@
 
 
 def _libraries() -> set[str]:
-    """Every shared library that an extension module of the pinned libraries names."""
+    """Return the shared libraries that extension modules of the pinned libraries refer to."""
     found: set[str] = set()
     for name in _distributions():
         for file in importlib.metadata.files(name) or []:
@@ -92,10 +94,10 @@
 
 
 def test_every_command_of_build_and_run_is_in_a_listed_package() -> None:
-    commands = _commands(BUILD) | _commands(_started())
+    commands = _commands(BUILD) | _commands(_start_commands())
     assert {"sh", "python3", "sha256sum", "find"} <= commands
     assert commands - EVERY_SYSTEM.keys() - COMMANDS.keys() == set()
-    modules = _modules(BUILD) | _modules(_started())
+    modules = _modules(BUILD) | _modules(_start_commands())
     assert "pip" in modules
     assert modules - MODULES.keys() == set()
     needed = {COMMANDS[c] for c in commands if c in COMMANDS} | {MODULES[m] for m in modules}
@@ -109,10 +111,10 @@
 
 
 def test_no_package_is_listed_that_nothing_asks_for() -> None:
-    asked = {COMMANDS[c] for c in _commands(BUILD + "\n" + _started()) if c in COMMANDS}
-    asked |= {MODULES[m] for m in _modules(BUILD + "\n" + _started())}
-    asked |= {LIBRARIES[name] for name in _libraries() if name in LIBRARIES}
-    assert sorted(DEPLOY["packages"]) == sorted(asked)
+    needed = {COMMANDS[c] for c in _commands(BUILD + "\n" + _start_commands()) if c in COMMANDS}
+    needed |= {MODULES[m] for m in _modules(BUILD + "\n" + _start_commands())}
+    needed |= {LIBRARIES[name] for name in _libraries() if name in LIBRARIES}
+    assert sorted(DEPLOY["packages"]) == sorted(needed)
 
 
 def test_a_command_that_is_in_no_listed_package_is_found() -> None:
@@ -123,12 +125,12 @@
     assert _modules("python3 -S -m venv x\npython3 -m pip install") == {"venv", "pip"}
 
 
-# What the users' bench refuses in sources: programs share no memory but by the network.
+# The users' test bench refuses sources that name these: programs must communicate only by the network.
 SHARED_MEMORY: typing.Final = ("/dev/" + "shm", "shared_" + "memory")
 
 
 def test_no_source_names_shared_memory() -> None:
     sources = [*ROOT.glob("packages/**/*.py"), *ROOT.glob("platform/*.py"), *ROOT.glob("deploy/*")]
     assert len(sources) > 100
-    naming = [str(path) for path in sources if any(name in path.read_text() for name in SHARED_MEMORY)]
-    assert naming == []
+    found = [str(path) for path in sources if any(name in path.read_text() for name in SHARED_MEMORY)]
+    assert found == []
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's folder: names, formats and calls, and that nobody else knows them."""
+"""The platform's adapter: names, formats and calls, none of which occur in any other code."""
 
 import importlib
 import json
@@ -15,7 +15,7 @@
 
 ROOT: typing.Final = pathlib.Path(__file__).parent.parent
 FOLDER: typing.Final = ROOT / "platform"
-# Words of the platform that are no plain English and none of ours.
+# Names of the platform that are neither plain English nor names of the product.
 NAMES: typing.Final = re.compile(
     r"dykeswitch-(attempt-id|time-left-ms|server-seal|expected-server|not-executed|server-load)"
     r"|servers\.(heartbeat|deregister)|config\.(replace|read)|traffic_split|target_latency|path_prefix"
@@ -26,31 +26,31 @@
 
 
 @pytest.fixture
-def folder(monkeypatch: pytest.MonkeyPatch) -> typing.Iterator[tuple[typing.Any, typing.Any]]:
+def modules(monkeypatch: pytest.MonkeyPatch) -> typing.Iterator[tuple[typing.Any, typing.Any]]:
     monkeypatch.syspath_prepend(str(FOLDER))
     yield importlib.import_module("speech"), importlib.import_module("told")
     for name in ("speech", "told"):
         sys.modules.pop(name, None)
 
 
-def _layout(**more: typing.Any) -> dict[str, typing.Any]:
-    heads = ["name", "host", "path_prefix", "route_type", "timeout_s", "target_latency_s", "priority"]
-    heads += ["traffic_split", "max_tries", "target"]
+def _layout(**changes: typing.Any) -> dict[str, typing.Any]:
+    headings = ["name", "host", "path_prefix", "route_type", "timeout_s", "target_latency_s", "priority"]
+    headings += ["traffic_split", "max_tries", "target"]
     parts = [{"target": "one", "weight": 90}, {"target": "two", "weight": 10}]
     rows = [
         ["r1", "a.example", "/x/", "read_only", 0.8, 0.2, 2, parts, 2, None],
         ["r2", "b.example", "/y/z/", "writing", 1, 0.25, 0, None, 1, "two"],
     ]
-    service = ["name", "health_path", "max_connections", "protocol", "tls"]
+    service_headings = ["name", "health_path", "max_connections", "protocol", "tls"]
     return {
         "revision": "0000001f",
-        "routes": {"headings": heads, "records": rows},
+        "routes": {"headings": headings, "records": rows},
         "services": {
-            "headings": service,
+            "headings": service_headings,
             "records": [["one", "/h", 100, "h1", False], ["two", "/h", 50, "h1", False]],
         },
         "limits": {"max_header_bytes": 16384, "max_body_bytes": 1000, "idle_timeout_s": 15},
-        **more,
+        **changes,
     }
 
 
@@ -60,13 +60,13 @@
 
 
 def test_nobody_else_knows_a_name_of_the_platform() -> None:
-    mine = {pathlib.Path(__file__).resolve()}
+    excluded = {pathlib.Path(__file__).resolve()}
     found = []
     for path in [*ROOT.glob("packages/*/src/**/*.py"), *ROOT.glob("tests/*.py")]:
-        if path.resolve() not in mine and NAMES.search(path.read_text()):
+        if path.resolve() not in excluded and NAMES.search(path.read_text()):
             found.append(str(path.relative_to(ROOT)))
     assert found == []
-    # And it is not empty talk: the folder itself has them.
+    # The pattern is effective: it matches in the platform's own folder.
     assert NAMES.search((FOLDER / "speech.py").read_text())
 
 
@@ -75,8 +75,8 @@
     assert not {p.stem for p in FOLDER.glob("*.py")} & set(sys.stdlib_module_names)
 
 
-def test_a_layout_of_the_platform_in_our_words(folder: tuple[typing.Any, typing.Any]) -> None:
-    result = _read(folder[0], _layout())
+def test_a_layout_of_the_platform_in_our_words(modules: tuple[typing.Any, typing.Any]) -> None:
+    result = _read(modules[0], _layout())
     assert isinstance(result, outcome.Success)
     layout = result.value
     assert layout.number == 31
@@ -86,13 +86,13 @@
     assert (two.service, two.writing, two.rank) == ("two", True, 0)
     assert layout.services["two"].pipes_most == 50
     assert (layout.bounds.head_most, layout.bounds.body_most, layout.bounds.idle_s) == (16384, 1000, 15)
-    # Prefixes are whole: the longest that begins the path, and none that only looks alike.
+    # The longest prefix of a path applies, final slash included; a merely similar prefix doesn't match.
     assert layout.match("a.example", "/x/1", "GET") is one
     assert layout.match("a.example", "/x", "GET") is None
     assert layout.match("a.example", "/xy/", "GET") is None
 
 
-def _broken(kind: str) -> object:
+def _invalid_layout(kind: str) -> object:
     doc = _layout()
     rows, services = doc["routes"]["records"], doc["services"]["records"]
     if kind == "unknown service":
@@ -163,29 +163,29 @@
         "service without a name",
     ],
 )
-def test_what_is_invalid_there_is_refused(kind: str, folder: tuple[typing.Any, typing.Any]) -> None:
-    assert isinstance(_read(folder[0], _layout()), outcome.Success)
-    assert isinstance(_read(folder[0], _broken(kind)), outcome.Failure)
+def test_what_is_invalid_there_is_refused(kind: str, modules: tuple[typing.Any, typing.Any]) -> None:
+    assert isinstance(_read(modules[0], _layout()), outcome.Success)
+    assert isinstance(_read(modules[0], _invalid_layout(kind)), outcome.Failure)
 
 
-def test_one_cut_short_is_refused(folder: tuple[typing.Any, typing.Any]) -> None:
+def test_one_cut_short_is_refused(modules: tuple[typing.Any, typing.Any]) -> None:
     data = json.dumps(_layout()).encode()
     for size in (0, 1, len(data) // 2, len(data) - 1):
-        assert isinstance(folder[0].Platform(1.5).layout(data[:size]), outcome.Failure)
+        assert isinstance(modules[0].Platform(1.5).layout(data[:size]), outcome.Failure)
 
 
 def test_two_routes_for_the_same_requests_are_taken_and_the_first_has_them(
-    folder: tuple[typing.Any, typing.Any],
+    modules: tuple[typing.Any, typing.Any],
 ) -> None:
     doc = _layout()
     doc["routes"]["records"].append([*doc["routes"]["records"][1][:-1], "one"])
-    result = _read(folder[0], doc)
+    result = _read(modules[0], doc)
     assert isinstance(result, outcome.Success)
     rule = result.value.match("b.example", "/y/z/1", "POST")
     assert rule is not None and rule.service == "two"
 
 
-def _told(**more: typing.Any) -> dict[str, typing.Any]:
+def _settings(**changes: typing.Any) -> dict[str, typing.Any]:
     timing = {"drain_s": 2, "config_apply_s": 1.5, "recover_s": 15, "grace_s": 6}
     return {
         "node_name": "m1",
@@ -200,19 +200,19 @@
         "survive": {"machine_losses": 2},
         "timing": {**timing, "retry_ratio": 0.1, "retry_slack": 7.5, "retry_window_s": 9},
         "a field of tomorrow": 1,
-        **more,
+        **changes,
     }
 
 
 @pytest.mark.parametrize("program", settings.PROGRAMS)
-def test_settings_under_our_names(program: str, folder: tuple[typing.Any, typing.Any]) -> None:
-    checked = settings.check(program, folder[1].translate(program, _told()))
+def test_settings_under_our_names(program: str, modules: tuple[typing.Any, typing.Any]) -> None:
+    checked = settings.check(program, modules[1].translate(program, _settings()))
     assert isinstance(checked, outcome.Success)
     config = checked.value
     assert (config.drain_s, config.extra_share, config.extra_floor, config.cores_lost) == (1.5, 0.1, 7, 2)
     if program == "registry":
         assert config.founders == ("10.1.0.37:7541", "10.2.0.37:7541")
-        later = settings.check(program, folder[1].translate(program, _told(bootstrap=False)))
+        later = settings.check(program, modules[1].translate(program, _settings(bootstrap=False)))
         assert isinstance(later, outcome.Success) and later.value.founders == ()
     if program == "proxy":
         assert (config.web, config.ready, config.member) == ("10.1.0.34:80", "10.1.0.34:81", "10.1.0.34:7540")
@@ -220,8 +220,8 @@
         assert (config.store, config.web) == ("10.1.0.34:7541", "")
 
 
-def test_a_refusal_that_ran_is_no_promise(folder: tuple[typing.Any, typing.Any]) -> None:
-    adapter = folder[0].Platform(1.5)
+def test_a_refusal_that_ran_is_no_promise(modules: tuple[typing.Any, typing.Any]) -> None:
+    adapter = modules[0].Platform(1.5)
     assert adapter.promises_not_run(503, [(b"Dykeswitch-Not-Executed", b"1")])
     assert adapter.promises_not_run(421, [])
     assert not adapter.promises_not_run(503, [(b"Retry-After", b"1")])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The table of rules (docs/rules.md) held to the code: what it names exists, and nothing is left out."""
+"""The table of rules in docs/rules.md, compared with the code: what it names exists, and it is complete."""
 
 import pathlib
 import re
@@ -34,7 +34,7 @@
 
 
 def _source(name: str) -> str:
-    """A module or test file by the name that the table has for it."""
+    """Return the source of a module or test file, by its name in the table."""
     if name.startswith("test_"):
         return (ROOT / "tests" / name).read_text()
     [path] = ROOT.glob(f"packages/*/src/dykeswitch/{name}")
@@ -42,7 +42,7 @@
 
 
 def _is_there(reference: str, names: typing.Container[str]) -> bool:
-    """Whether a reference names something: one of some names, or a function or class of a module."""
+    """Whether a reference is one of the given names, or a function or class that exists in a module."""
     module, _, part = reference.partition(": ")
     if not part:
         return reference in names
@@ -79,7 +79,7 @@
 
 
 def test_a_finding_stands_in_the_table() -> None:
-    """One that no cell names any more is mended, and goes from the list."""
+    """A finding that no cell refers to any more has been fixed and must be removed from the list."""
     listed = set(re.findall(r"^- \*\*(F\d+)\*\* ", PAGE, re.M))
     named = {name for row in ROWS for cell in row.values() for name in re.findall(r"none \((F\d+)\)", cell)}
     assert listed == named
--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -1,4 +1,4 @@
-"""Rules of readable code that no linter in `./check` knows."""
+"""Rules of readable code that no linter in `./check` covers."""
 
 import ast
 import pathlib
@@ -12,7 +12,7 @@
 MODULE_LINES: typing.Final = 350
 FUNCTION_LINES: typing.Final = 50
 
-# Not split yet. Both lists only shrink: what is no longer too long has to be taken off.
+# Not split yet. Both lists may only shrink: an entry that is no longer too long must be removed.
 LONG_MODULES: typing.Final = frozenset(
     {
         "membership/__init__.py",
@@ -25,7 +25,7 @@
         "simulator/scenario.py:day",
     }
 )
-# Names of the earlier house style, each with the name that took its place.
+# Names of a former style, each with its replacement.
 WITHDRAWN: typing.Final = {
     "burden": "load",
     "dice": "rng",
@@ -40,12 +40,12 @@
 
 
 def _short(path: pathlib.Path) -> str:
-    """A path as the lists above have it: from the package on."""
+    """Return a path as the lists above give it, beginning with the package."""
     return path.relative_to(ROOT).as_posix().rpartition("src/dykeswitch/")[2]
 
 
 def _names(path: pathlib.Path) -> set[str]:
-    """The parts of every name in a file, in lower case: `_old_spot` has `old` and `spot`."""
+    """Return the parts of all names in a file, in lower case: `_old_spot` gives `old` and `spot`."""
     found: set[str] = set()
     with path.open(encoding="utf-8") as file:
         for token in tokenize.generate_tokens(file.readline):
@@ -80,7 +80,7 @@
 
 
 def test_every_import_says_where_a_name_is_from() -> None:
-    """No star, nothing relative: a reader finds each name by a search for it."""
+    """No star imports and no relative ones, so that a search for a name finds where it is from."""
     found = [
         f"{path.relative_to(ROOT)}:{node.lineno}"
         for path in [*PRODUCT, *ROOT.glob("tests/*.py")]
@@ -91,23 +91,23 @@
 
 
 def test_no_two_modules_import_each_other() -> None:
-    """Where two need each other they have one job, or a third has what they share."""
+    """Two modules that need each other are to be merged, or what they share moved to a third."""
     modules = {_module(path): path for path in PRODUCT}
     imports = {name: _imports(path, modules.keys()) for name, path in modules.items()}
-    assert sum(len(wants) for wants in imports.values()) > 100
-    found = {(a, b) for a, wants in imports.items() for b in wants if a < b and a in imports[b]}
+    assert sum(len(imported) for imported in imports.values()) > 100
+    found = {(a, b) for a, imported in imports.items() for b in imported if a < b and a in imports[b]}
     assert found == set()
 
 
 def _imports(path: pathlib.Path, modules: typing.Collection[str]) -> set[str]:
-    """Our own modules that a module imports when it is loaded."""
+    """Return the product's modules that a module imports when it is loaded."""
     found: set[str] = set()
     for node in ast.parse(path.read_text()).body:
         if isinstance(node, ast.Import):
             found.update(alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom) and node.module:
             parts = {f"{node.module}.{alias.name}" for alias in node.names}
-            # A name that is no module of its own is the module's that it is taken from.
+            # A name that isn't a module itself belongs to the module it is imported from.
             found |= parts if parts <= set(modules) else (parts & set(modules)) | {node.module}
     return found & set(modules)
 
@@ -117,7 +117,7 @@
 
 
 def test_the_map_for_newcomers_names_what_is_there() -> None:
-    """Each file in docs/contribute.md is there, and has the functions that are named after it."""
+    """Each file that docs/contribute.md lists exists and has the functions listed with it."""
     page = (ROOT / "docs" / "contribute.md").read_text()
     section = page.partition("## Where to find things")[2].partition("\n## ")[0]
     files = {_short(path): path for path in PRODUCT}
@@ -130,9 +130,9 @@
 
 
 def test_what_the_readme_tells_to_run_can_be_run() -> None:
-    """Without a run bit in git a fresh clone answers `./check` with "Permission denied"."""
+    """Without the executable bit in git, `./check` fails in a fresh clone with "Permission denied"."""
     assert "\n./check\n" in (ROOT / "README.md").read_text()
-    # CI takes the README's own way in, so that it fails where a reader would.
+    # CI uses the command of the README, so that it fails if a reader's run would.
     assert (ROOT / ".ci" / "run").read_text().endswith("\nexec ./check\n")
     for name in ("check", ".ci/run"):
         assert (ROOT / name).stat().st_mode & 0o111 == 0o111, name
@@ -141,6 +141,6 @@
 def test_ci_checks_format_lint_and_types_of_packages_platform_and_tests() -> None:
     lines = (ROOT / "check").read_text().splitlines()
     for tool in (".venv/bin/mypy", ".venv/bin/ruff format --check", ".venv/bin/ruff check"):
-        asked = next(line for line in lines if line.startswith(tool)).split()
-        assert {"platform", "tests"} <= set(asked), tool
-        assert {"packages", "packages/*/src"} & set(asked), tool
+        arguments = next(line for line in lines if line.startswith(tool)).split()
+        assert {"platform", "tests"} <= set(arguments), tool
+        assert {"packages", "packages/*/src"} & set(arguments), tool
