--- a/packages/adapter/src/dykeswitch/adapter/__init__.py
+++ b/packages/adapter/src/dykeswitch/adapter/__init__.py
@@ -110,8 +110,8 @@
 class DefaultAdapter:
     """The product's own interface."""
 
-    PROMISE: typing.Final = b"dykeswitch-promise"
-    NOT_RUN: typing.Final = b"not-run"
+    PROMISE_HEADER: typing.Final = b"dykeswitch-promise"
+    PROMISE_NOT_RUN: typing.Final = b"not-run"
 
     header_names: HeaderNames = HeaderNames()
     named_by_caller: bool = False
@@ -126,7 +126,7 @@
 
     def promises_not_run(self, status: int, headers: list[tuple[bytes, bytes]]) -> bool:
         """Whether the response has the header that promises that the request did not run."""
-        return find(headers, self.PROMISE) == self.NOT_RUN
+        return find(headers, self.PROMISE_HEADER) == self.PROMISE_NOT_RUN
 
     def retry_after(self, delay_s: float) -> bytes:
         """Return the value of `Retry-After` in whole seconds."""
--- a/packages/cli/src/dykeswitch/cli/fuzz/answers.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/answers.py
@@ -15,7 +15,7 @@
 
 EXCHANGE_HEADER: typing.Final = b"dykeswitch-exchange"
 EXCHANGE_ID: typing.Final = b"exchange-1"
-WHOLE: typing.Final = (
+WITH_LENGTH: typing.Final = (
     b"HTTP/1.1 200 OK\r\ncontent-length: 4\r\ndykeswitch-served-by: pages-0\r\n"
     b"dykeswitch-exchange: exchange-1\r\n\r\nfine"
 )
@@ -23,9 +23,9 @@
     b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\ndykeswitch-exchange: exchange-1\r\n\r\n"
     b"2\r\nfi\r\n2\r\nne\r\n0\r\n\r\n"
 )
-AFTER_CONTINUE: typing.Final = b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE
-FOREIGN_FIRST: typing.Final = WHOLE.replace(EXCHANGE_ID, b"exchange-0") + WHOLE
-VALID: typing.Final = [WHOLE, CHUNKED, AFTER_CONTINUE, FOREIGN_FIRST, WHOLE + WHOLE]
+AFTER_CONTINUE: typing.Final = b"HTTP/1.1 100 Continue\r\n\r\n" + WITH_LENGTH
+FOREIGN_FIRST: typing.Final = WITH_LENGTH.replace(EXCHANGE_ID, b"exchange-0") + WITH_LENGTH
+VALID: typing.Final = [WITH_LENGTH, CHUNKED, AFTER_CONTINUE, FOREIGN_FIRST, WITH_LENGTH + WITH_LENGTH]
 # More than the body of one response can come to in any case.
 MAX_BODY_BYTES: typing.Final = 100_000
 
--- a/packages/cli/src/dykeswitch/cli/operate.py
+++ b/packages/cli/src/dykeswitch/cli/operate.py
@@ -128,35 +128,35 @@
     last: ports.Response | None = None
     for address in addresses:
         try:
-            reply = await web.request(method, address, path, headers, body, REQUEST_TIMEOUT_S)
+            response = await web.request(method, address, path, headers, body, REQUEST_TIMEOUT_S)
         except (OSError, TimeoutError) as error:
             sys.stderr.write(f"dykeswitch: {address}: {error or 'no response within the timeout'}\n")
             # The change may have been made after all, so another registry must not make it again.
             if isinstance(error, TimeoutError) and method in ("PUT", "POST"):
                 return None
             continue
-        if reply.status != 503:
-            return reply
-        last = reply
+        if response.status != 503:
+            return response
+        last = response
     return last
 
 
-def _exit_code(reply: ports.Response | None) -> int | None:
+def _exit_code(response: ports.Response | None) -> int | None:
     """Report a response that is not a success and return its exit code; None for a success."""
-    if reply is None:
+    if response is None:
         return EXIT_UNREACHABLE
-    if reply.status == 200:
+    if response.status == 200:
         return None
     try:
-        page = json.loads(reply.body)
+        page = json.loads(response.body)
     except ValueError:
         page = {}
-    sys.stderr.write(f"dykeswitch: {page.get('code', reply.status)} {page.get('result', '')}: ")
+    sys.stderr.write(f"dykeswitch: {page.get('code', response.status)} {page.get('result', '')}: ")
     sys.stderr.write(f"{page.get('text', 'refused')}\n")
     for line in [page.get("why"), *page.get("faults", [])]:
         if line:
             sys.stderr.write(f"  {line}\n")
-    return EXIT_UNKNOWN if reply.status == 504 else EXIT_REFUSED
+    return EXIT_UNKNOWN if response.status == 504 else EXIT_REFUSED
 
 
 async def _query(args: argparse.Namespace, addresses: list[str]) -> int:
@@ -165,11 +165,11 @@
     if len(words) > 1:
         words = [f'"{w}"' if " " in w and '"' not in w else w for w in words]
     body = json.dumps({"text": " ".join(words), "by": args.by}).encode()
-    reply = await _request(addresses, "POST", "/v1/query", body, [("content-type", "application/json")])
-    code = _exit_code(reply)
-    if code is not None or reply is None:
+    response = await _request(addresses, "POST", "/v1/query", body, [("content-type", "application/json")])
+    code = _exit_code(response)
+    if code is not None or response is None:
         return EXIT_UNREACHABLE if code is None else code
-    page = json.loads(reply.body)
+    page = json.loads(response.body)
     if args.json:
         print(json.dumps(page, indent=2))
         return EXIT_OK
@@ -186,35 +186,35 @@
     headers = [("content-type", "application/json")]
     if args.if_version is not None:
         headers.append(("if-match", f'"{args.if_version}"'))
-    reply = await _request(addresses, "PUT", "/v1/layout", layouts.serialize(layout), headers)
-    code = _exit_code(reply)
-    if code is not None or reply is None:
+    response = await _request(addresses, "PUT", "/v1/layout", layouts.serialize(layout), headers)
+    code = _exit_code(response)
+    if code is not None or response is None:
         return EXIT_UNREACHABLE if code is None else code
-    print(f"version {json.loads(reply.body)['version']}")
+    print(f"version {json.loads(response.body)['version']}")
     return EXIT_OK
 
 
 async def _newest(addresses: list[str]) -> tuple[int | None, ports.Response | None]:
-    reply = await _request(addresses, "GET", "/v1/layout", b"", [])
-    return _exit_code(reply), reply
+    response = await _request(addresses, "GET", "/v1/layout", b"", [])
+    return _exit_code(response), response
 
 
 async def _fetch(addresses: list[str]) -> int:
-    code, reply = await _newest(addresses)
-    if code is not None or reply is None:
+    code, response = await _newest(addresses)
+    if code is not None or response is None:
         return EXIT_UNREACHABLE if code is None else code
-    sys.stderr.write(f"version {reply.header('dykeswitch-version')}\n")
-    print(json.dumps(json.loads(reply.body), indent=2, sort_keys=True))
+    sys.stderr.write(f"version {response.header('dykeswitch-version')}\n")
+    print(json.dumps(json.loads(response.body), indent=2, sort_keys=True))
     return EXIT_OK
 
 
 async def _compare(addresses: list[str], layout: layouts.Layout) -> int:
-    code, reply = await _newest(addresses)
-    if code is not None or reply is None:
+    code, response = await _newest(addresses)
+    if code is not None or response is None:
         return EXIT_UNREACHABLE if code is None else code
-    newest_lines = json.dumps(json.loads(reply.body), indent=2, sort_keys=True).splitlines()
+    newest_lines = json.dumps(json.loads(response.body), indent=2, sort_keys=True).splitlines()
     file_lines = json.dumps(layout.doc, indent=2, sort_keys=True).splitlines()
-    newest = f"version {reply.header('dykeswitch-version')}"
+    newest = f"version {response.header('dykeswitch-version')}"
     differences = list(difflib.unified_diff(newest_lines, file_lines, newest, "file", lineterm=""))
     print("\n".join(differences) if differences else f"no difference from {newest}")
     return EXIT_REFUSED if differences else EXIT_OK
--- a/packages/language/src/dykeswitch/language/__init__.py
+++ b/packages/language/src/dykeswitch/language/__init__.py
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pause:
-    """Pause an endpoint for `for_s` seconds, beginning in `in_s` seconds."""
+    """Take an endpoint out of use for `for_s` seconds, beginning in `in_s` seconds."""
 
     endpoint: str
     for_s: float
--- a/packages/ports/src/dykeswitch/ports/departure.py
+++ b/packages/ports/src/dykeswitch/ports/departure.py
@@ -53,5 +53,5 @@
     If the server does not provide one, the result is a `Departure` that is never announced.
     """
     state = scope.get("state") or {}
-    found = state.get(STATE_KEY)
-    return found if isinstance(found, Departure) else Departure()
+    departure = state.get(STATE_KEY)
+    return departure if isinstance(departure, Departure) else Departure()
--- a/packages/settings/src/dykeswitch/settings/sources.py
+++ b/packages/settings/src/dykeswitch/settings/sources.py
@@ -29,10 +29,10 @@
     """Read and check the settings from file and flags; a flag overrides the file."""
     raw: dict[str, object] = {}
     if args.settings:
-        found = _read(args.settings)
-        if isinstance(found, outcome.Failure):
-            return found
-        raw = renamed(found.value)
+        from_file = _read(args.settings)
+        if isinstance(from_file, outcome.Failure):
+            return from_file
+        raw = renamed(from_file.value)
     faults: list[str] = []
     hints = typing.get_type_hints(Settings)
     for field in dataclasses.fields(Settings):
