--- a/packages/register/src/dykeswitch/register/messages.py
+++ b/packages/register/src/dykeswitch/register/messages.py
@@ -1,9 +1,8 @@
-"""The register's messages: what proposers ask of stores and what stores answer.
+"""The register's messages: requests of proposers and replies of stores.
 
-Each message is a dataclass whose fields name their codec, so there is one encoder and one
-checked decoder for all of them. `decode` raises `ValueError` for any body that is not the
-message. A message has a version of its own; on the wire the first one goes without saying.
-The call `state` is not among them: it is the replica's account of itself.
+Each message is a dataclass whose fields name their codec, so that one encoder and one checked decoder
+serve all messages. `decode` raises `ValueError` for a body that is not a valid message. Each message
+has a version; the first version is not sent. The call `state` is not defined here: see `replica`.
 """
 
 import dataclasses
@@ -15,74 +14,74 @@
 
 FIRST_VERSION: typing.Final = 1
 VERSION_FIELD: typing.Final = "version_of_message"
-KEY_MOST: typing.Final = 64
-KEYS_MOST: typing.Final = 4096
-DISK_ID_MOST: typing.Final = 64
-# Names under which a store keeps records of its own; no proposer may write them.
+MAX_KEY_LENGTH: typing.Final = 64
+MAX_KEYS: typing.Final = 4096
+MAX_DISK_ID_LENGTH: typing.Final = 64
+# Keys of a store's own records. Proposers must not write them.
 DISK_KEY: typing.Final = "@disk"
 SET_KEY: typing.Final = "@set"
 
 
 class Codec(typing.NamedTuple):
-    """How one field goes over the wire, and how it is checked when it comes off it."""
+    """Encodes a field for the wire, and decodes and checks it on receipt."""
 
     encode: typing.Callable[[typing.Any], typing.Any]
     decode: typing.Callable[[typing.Any], typing.Any]
 
 
-def _read_key(raw: object) -> str:
-    # Each key is a folder on the disk: only names that the register has are given one.
-    if not isinstance(raw, str) or not 0 < len(raw) <= KEY_MOST or not raw.isascii():
-        raise ValueError("not a key")
+def _decode_key(raw: object) -> str:
+    # Each key becomes a directory on the disk, so only valid keys of the register are accepted.
+    if not isinstance(raw, str) or not 0 < len(raw) <= MAX_KEY_LENGTH or not raw.isascii():
+        raise ValueError("not a valid key")
     if raw in (DISK_KEY, SET_KEY):
-        raise ValueError("not a key of the register")
+        raise ValueError("the key is reserved for the store")
     return raw
 
 
-def _read_keys(raw: object) -> tuple[str, ...]:
-    if not isinstance(raw, list | tuple) or len(raw) > KEYS_MOST:
-        raise ValueError("not a list of keys")
-    return tuple(_read_key(key) for key in raw)
+def _decode_keys(raw: object) -> tuple[str, ...]:
+    if not isinstance(raw, list | tuple) or len(raw) > MAX_KEYS:
+        raise ValueError("not a list of keys, or too many")
+    return tuple(_decode_key(key) for key in raw)
 
 
-def _read_count(raw: object) -> int:
+def _decode_count(raw: object) -> int:
     if not register.is_count(raw):
-        raise ValueError("not a count")
+        raise ValueError("not a valid count")
     return typing.cast(int, raw)
 
 
-def _read_disk(raw: object) -> str:
-    if not isinstance(raw, str) or not 0 < len(raw) <= DISK_ID_MOST:
-        raise ValueError("not a disk id")
+def _decode_disk(raw: object) -> str:
+    if not isinstance(raw, str) or not 0 < len(raw) <= MAX_DISK_ID_LENGTH:
+        raise ValueError("not a valid disk id")
     return raw
 
 
-def _as_is(value: typing.Any) -> typing.Any:
+def _identity(value: typing.Any) -> typing.Any:
     return value
 
 
-KEY: typing.Final = Codec(_as_is, _read_key)
-KEYS: typing.Final = Codec(list, _read_keys)
-COUNT: typing.Final = Codec(_as_is, _read_count)
-DISK: typing.Final = Codec(_as_is, _read_disk)
+KEY: typing.Final = Codec(_identity, _decode_key)
+KEYS: typing.Final = Codec(list, _decode_keys)
+COUNT: typing.Final = Codec(_identity, _decode_count)
+DISK: typing.Final = Codec(_identity, _decode_disk)
 BALLOT: typing.Final = Codec(list, register.decode_ballot)
 VALUE: typing.Final = Codec(register.Value.to_wire, register.decode_value)
 MEMBER_SET: typing.Final = Codec(register.MemberSet.to_wire, register.decode_member_set)
 
 
 def _field(codec: Codec, name: str = "") -> typing.Any:
-    """A field that must be there, under a name of its own on the wire if one is given."""
+    """A required field; `name` is its name on the wire if it differs from the attribute."""
     return dataclasses.field(metadata={"codec": codec, "name": name})
 
 
 def _optional(codec: Codec) -> typing.Any:
-    """A field that is left out of the body while it is `None`."""
+    """A field that is omitted from the body while it is `None`."""
     return dataclasses.field(default=None, metadata={"codec": codec, "name": ""})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prepare:
-    """Promise to take part in no lower ballot, and tell what was accepted."""
+    """Asks a disk to promise to reject lower ballots and to report what it accepted."""
 
     KIND: typing.ClassVar[str] = "prepare"
     VERSION: typing.ClassVar[int] = FIRST_VERSION
@@ -94,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Promise:
-    """The answer to `Prepare`: what this disk accepted last."""
+    """The reply to `Prepare`: the ballot and value that this disk accepted last."""
 
     VERSION: typing.ClassVar[int] = FIRST_VERSION
     ballot: register.Ballot = _field(BALLOT)
@@ -103,7 +102,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accept:
-    """Take up a value under a ballot that a majority promised."""
+    """Asks a disk to accept a value under a ballot that a majority promised."""
 
     KIND: typing.ClassVar[str] = "accept"
     VERSION: typing.ClassVar[int] = FIRST_VERSION
@@ -116,14 +115,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Accepted:
-    """The answer to `Accept`: the value is durable on this disk."""
+    """The reply to `Accept`: the value is durable on this disk."""
 
     VERSION: typing.ClassVar[int] = FIRST_VERSION
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Read:
-    """Tell what is accepted; the value may be left out for a reader that holds that very ballot."""
+    """Asks for the accepted value, which is omitted from the reply if its ballot is `have`."""
 
     KIND: typing.ClassVar[str] = "read"
     VERSION: typing.ClassVar[int] = FIRST_VERSION
@@ -135,7 +134,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadReply:
-    """The answer to `Read`: this disk's copy of a key."""
+    """The reply to `Read`: this disk's copy of a key."""
 
     VERSION: typing.ClassVar[int] = FIRST_VERSION
     ballot: register.Ballot = _field(BALLOT)
@@ -145,7 +144,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Keys:
-    """Tell every key that was ever accepted."""
+    """Asks for every key for which a value was ever accepted."""
 
     KIND: typing.ClassVar[str] = "keys"
     VERSION: typing.ClassVar[int] = FIRST_VERSION
@@ -155,7 +154,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeysReply:
-    """The answer to `Keys`."""
+    """The reply to `Keys`."""
 
     VERSION: typing.ClassVar[int] = FIRST_VERSION
     keys: tuple[str, ...] = _field(KEYS)
@@ -163,7 +162,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Install:
-    """Take up a decided member set."""
+    """Asks a disk to adopt a decided member set."""
 
     KIND: typing.ClassVar[str] = "install"
     VERSION: typing.ClassVar[int] = FIRST_VERSION
@@ -173,7 +172,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Installed:
-    """The answer to `Install`: the epoch that is in force on this disk."""
+    """The reply to `Install`: the epoch in force on this disk."""
 
     VERSION: typing.ClassVar[int] = FIRST_VERSION
     epoch: int = _field(COUNT)
@@ -181,7 +180,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Retire:
-    """Give up a vote that a decided set, held by a majority of its own, took away."""
+    """Asks a replaced disk to give up its vote.
+
+    `members` is the decided set that removed the vote. It is sent only once a majority of that set
+    stores it.
+    """
 
     KIND: typing.ClassVar[str] = "retire"
     VERSION: typing.ClassVar[int] = FIRST_VERSION
@@ -191,7 +194,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Retired:
-    """The answer to `Retire`: the disk is empty and has this new id."""
+    """The reply to `Retire`: the disk is empty and has this new id."""
 
     VERSION: typing.ClassVar[int] = FIRST_VERSION
     disk: str = _field(DISK)
@@ -203,7 +206,7 @@
 
 
 def encode(message: Request | Reply) -> Body:
-    """A message as the body of a frame."""
+    """Encodes a message as the body of a frame."""
     body: Body = {}
     for field in dataclasses.fields(message):
         value = getattr(message, field.name)
@@ -215,21 +218,21 @@
 
 
 def decode(kind: type[Message], body: Body) -> Message:
-    """A message off the wire; raises `ValueError` where the body is not one."""
+    """Decodes and checks a message from the wire; raises `ValueError` if it is malformed."""
     if body.get(VERSION_FIELD, FIRST_VERSION) != kind.VERSION:
-        raise ValueError(f"another version of {kind.__name__}")
+        raise ValueError(f"unsupported version of {kind.__name__}")
     values: dict[str, typing.Any] = {}
     for field in dataclasses.fields(kind):
         name = field.metadata["name"] or field.name
         if name in body:
-            values[field.name] = _checked(field.metadata["codec"], name, body[name])
+            values[field.name] = _decode_field(field.metadata["codec"], name, body[name])
         elif field.default is dataclasses.MISSING:
-            raise ValueError(f"no {name}")
+            raise ValueError(f"missing field {name}")
     return kind(**values)
 
 
-def _checked(codec: Codec, name: str, raw: object) -> typing.Any:
+def _decode_field(codec: Codec, name: str, raw: object) -> typing.Any:
     try:
         return codec.decode(raw)
-    except (TypeError, ValueError, AttributeError, OverflowError) as flaw:
-        raise ValueError(f"{name}: {flaw}") from flaw
+    except (TypeError, ValueError, AttributeError, OverflowError) as error:
+        raise ValueError(f"{name}: {error}") from error
--- a/packages/register/src/dykeswitch/register/placement.py
+++ b/packages/register/src/dykeswitch/register/placement.py
@@ -1,7 +1,7 @@
-"""Placement of votes: which replicas should vote, so that the losses to be borne are borne.
+"""Placement of votes: which replicas should vote so that the required losses are survived.
 
-Everything here is a pure function of what the replicas tell. A loss is *borne* if a
-majority of the voters is left after it, whichever machines, zones or regions are lost.
+All functions are pure functions of what the replicas report. A loss is survivable if a majority of the
+voters is left after it, whichever machines, zones or regions are lost.
 """
 
 import collections
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tolerance:
-    """What may be lost at once: so many machines, or zones, or regions."""
+    """How many machines, or zones, or regions may be lost at once."""
 
     machines: int = 1
     zones: int = 0
@@ -26,24 +26,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """The next change of the voters: disks that leave, and those that come in their place."""
+    """The next change of the voters: the disks to remove and the disks to add."""
 
     remove: tuple[str, ...]
     add: tuple[str, ...]
 
 
 def votes_by_zone(voters: typing.Iterable[str], sites: Sites) -> collections.Counter[str]:
-    """How many votes each zone has; a voter whose zone is not known is a zone of its own."""
+    """The number of votes in each zone; a voter in an unknown zone counts as a zone of its own."""
     return collections.Counter(_site(disk, sites).zone or f"?{disk}" for disk in voters)
 
 
 def votes_by_region(voters: typing.Iterable[str], sites: Sites) -> collections.Counter[str]:
-    """How many votes each region has, likewise."""
+    """The number of votes in each region; a voter in an unknown region counts as one of its own."""
     return collections.Counter(_site(disk, sites).region or f"?{disk}" for disk in voters)
 
 
 def worst_loss(voters: typing.Collection[str], sites: Sites, tolerance: Tolerance) -> int:
-    """How many of the voters the worst loss that must be borne takes away."""
+    """How many voters the worst loss within the tolerance takes away."""
     return max(
         min(tolerance.machines, len(voters)),
         _largest(votes_by_zone(voters, sites), tolerance.zones),
@@ -52,7 +52,7 @@
 
 
 def is_survivable(voters: typing.Collection[str], sites: Sites, tolerance: Tolerance) -> bool:
-    """Whether every loss that must be borne leaves a majority of the voters."""
+    """Whether every loss within the tolerance leaves a majority of the voters."""
     return 2 * worst_loss(voters, sites, tolerance) < len(voters)
 
 
@@ -62,16 +62,16 @@
     sites: Sites,
     tolerance: Tolerance,
 ) -> frozenset[str]:
-    """The voters to aim for: as few as bear the losses, but no fewer than there are now.
+    """Chooses the target voters: the fewest that survive the losses, but no fewer than now.
 
-    Where no choice bears them, the one that is spread best.
+    If no choice survives the losses, this is the one that is spread best.
     """
-    least = max(2 * tolerance.machines + 1, len(voters))
-    for size in range(least, len(candidates) + 1):
-        found = _spread(candidates, size, voters, sites, tolerance)
-        if is_survivable(found, sites, tolerance):
-            return found
-    return _spread(candidates, min(least, len(candidates)), voters, sites, tolerance)
+    min_size = max(2 * tolerance.machines + 1, len(voters))
+    for size in range(min_size, len(candidates) + 1):
+        chosen = _spread(candidates, size, voters, sites, tolerance)
+        if is_survivable(chosen, sites, tolerance):
+            return chosen
+    return _spread(candidates, min(min_size, len(candidates)), voters, sites, tolerance)
 
 
 def next_change(
@@ -81,27 +81,27 @@
     sites: Sites,
     tolerance: Tolerance,
 ) -> Change | None:
-    """The one change of the voters that should come next, if any.
+    """Returns the one change of the voters that should come next, if any.
 
-    A vote is only ever taken away for another that is given at the same time. `departing`
-    are voters that are lost, leave, or should have no vote, the most urgent first.
+    A vote is only removed if another one is added at the same time. `departing` are voters that are
+    lost, are leaving or should have no vote, the most urgent first.
     """
-    staying = [disk for disk in voters if disk not in departing]
+    remaining = [disk for disk in voters if disk not in departing]
     if not spares or (not departing and is_survivable(voters, sites, tolerance)):
         return None
-    target = choose([*staying, *spares], voters, sites, tolerance)
-    coming = sorted(target - set(voters))
-    if not coming:
+    target = choose([*remaining, *spares], voters, sites, tolerance)
+    incoming = sorted(target - set(voters))
+    if not incoming:
         return None
     if departing:
-        return _best_swap(voters, departing[:1], coming, sites, tolerance)
+        return _best_swap(voters, departing[:1], incoming, sites, tolerance)
     if len(target) > len(voters):
-        return Change((), tuple(coming[: len(target) - len(voters)]))
-    swap = _best_swap(voters, sorted(set(voters) - target), coming, sites, tolerance)
-    # Only a step that makes the spread better ends somewhere.
-    moved = (set(voters) - set(swap.remove)) | set(swap.add)
-    better = _cost(moved, sites, tolerance) < _cost(voters, sites, tolerance)
-    return swap if better else None
+        return Change((), tuple(incoming[: len(target) - len(voters)]))
+    swap = _best_swap(voters, sorted(set(voters) - target), incoming, sites, tolerance)
+    # Only a step that improves the spread is made; otherwise the changes might never end.
+    changed = (set(voters) - set(swap.remove)) | set(swap.add)
+    is_better = _cost(changed, sites, tolerance) < _cost(voters, sites, tolerance)
+    return swap if is_better else None
 
 
 def survivable_losses(
@@ -118,12 +118,12 @@
     answering: typing.Collection[str],
     by: typing.Callable[[list[str]], typing.Mapping[str, int]],
 ) -> int:
-    left = [disk for disk, _ in group if disk in answering]
-    if not register.majority(group, left):
+    remaining = [disk for disk, _ in group if disk in answering]
+    if not register.majority(group, remaining):
         return -1
-    domains = by(left)
-    spare = len(left) - (len(group) // 2 + 1)
-    return max(k for k in range(len(domains) + 1) if _largest(domains, k) <= spare)
+    domains = by(remaining)
+    spare = len(remaining) - (len(group) // 2 + 1)
+    return max(count for count in range(len(domains) + 1) if _largest(domains, count) <= spare)
 
 
 def _site(disk: str, sites: Sites) -> replicas.Site:
@@ -131,16 +131,16 @@
 
 
 def _largest(domains: typing.Mapping[str, int], count: int) -> int:
-    """The votes of the `count` domains that have most."""
+    """The number of votes in the `count` domains that have the most."""
     return sum(sorted(domains.values(), reverse=True)[:count])
 
 
 def _cost(voters: typing.Collection[str], sites: Sites, tolerance: Tolerance) -> tuple[int, int, int]:
-    """How far a set is from bearing the losses, and how unevenly it is spread."""
-    lacking = max(0, 2 * worst_loss(voters, sites, tolerance) - len(voters) + 1)
+    """How many votes a set lacks to survive the losses, and how unevenly it is spread."""
+    missing = max(0, 2 * worst_loss(voters, sites, tolerance) - len(voters) + 1)
     regions = sum(votes**2 for votes in votes_by_region(voters, sites).values())
     zones = sum(votes**2 for votes in votes_by_zone(voters, sites).values())
-    return (lacking, regions if tolerance.regions else 0, zones)
+    return (missing, regions if tolerance.regions else 0, zones)
 
 
 def _spread(
@@ -150,12 +150,12 @@
     sites: Sites,
     tolerance: Tolerance,
 ) -> frozenset[str]:
-    """So many candidates, the emptiest domain first, voters before others.
+    """Chooses `size` candidates: those in the emptiest domain first, current voters before others.
 
-    Filling the emptiest first leaves the fullest domains as empty as they can be.
+    Filling the emptiest domain first keeps the fullest ones as empty as possible.
     """
     chosen: list[str] = []
-    left = sorted(candidates)
+    remaining = sorted(candidates)
 
     def rank(disk: str) -> tuple[int, int, int, str]:
         zone = votes_by_zone([*chosen, disk], sites)[_site(disk, sites).zone or f"?{disk}"]
@@ -167,24 +167,24 @@
             return (zone, region, new, disk)
         return (new, zone, region, disk)
 
-    while left and len(chosen) < size:
-        first = min(left, key=rank)
-        left.remove(first)
-        chosen.append(first)
+    while remaining and len(chosen) < size:
+        best = min(remaining, key=rank)
+        remaining.remove(best)
+        chosen.append(best)
     return frozenset(chosen)
 
 
 def _best_swap(
     voters: typing.Collection[str],
-    leaving: typing.Sequence[str],
-    coming: typing.Sequence[str],
+    removable: typing.Sequence[str],
+    incoming: typing.Sequence[str],
     sites: Sites,
     tolerance: Tolerance,
 ) -> Change:
-    """One voter for another, so that what results is spread best."""
+    """Replaces one of the leaving voters so that the resulting set is spread best."""
 
     def cost(pair: tuple[str, str]) -> tuple[int, int, int]:
         return _cost((set(voters) - {pair[0]}) | {pair[1]}, sites, tolerance)
 
-    old, new = min(((old, new) for old in leaving for new in coming), key=cost)
+    old, new = min(((old, new) for old in removable for new in incoming), key=cost)
     return Change((old,), (new,))
--- a/packages/register/src/dykeswitch/register/quorum.py
+++ b/packages/register/src/dykeswitch/register/quorum.py
@@ -1,4 +1,4 @@
-"""Calls of one registry to the stores of the member set, until a majority of each group answered."""
+"""Calls from one registry to the stores of the member set, until each group has a majority."""
 
 import asyncio
 import contextlib
@@ -15,80 +15,83 @@
 DiskRequest = messages.Prepare | messages.Accept | messages.Read | messages.Keys
 Answer = typing.TypeVar("Answer", bound=messages.Reply)
 
-# Stands in a message until it is addressed to one of the disks.
+# Placeholder in a request that is not addressed to a particular disk yet.
 ANY_DISK: typing.Final = ""
 OUTVOTED: typing.Final = "outvoted"
 OLD_EPOCH: typing.Final = "old_epoch"
-# Refusals by disks that know of something later, and for which part of a call's span the other
-# disks are waited for after one.
+# Refusals by disks that know a later ballot or member set. After one, the other disks are waited for only
+# during this fraction of a call timeout.
 SUPERSEDED: typing.Final = (OUTVOTED, OLD_EPOCH)
-SUPERSEDED_WAIT: typing.Final = 0.1
+SUPERSEDED_WAIT_FRACTION: typing.Final = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answers(typing.Generic[Answer]):
-    """What the disks of some groups answered, by disk, and the refusals of the others."""
+    """The replies of the disks of some groups, by disk id, and the refusals of the others."""
 
     groups: Groups
-    yes: dict[str, Answer]
-    no: list[outcome.Failure]
+    replies: dict[str, Answer]
+    refusals: list[outcome.Failure]
 
     def has_majorities(self) -> bool:
-        """Whether each group has its majority."""
-        return register.has_majorities(self.groups, self.yes)
+        """Whether each group has a majority of replies."""
+        return register.has_majorities(self.groups, self.replies)
 
     def failure(self) -> outcome.Failure:
-        """Why there is no majority."""
-        seen = ", ".join(sorted({failure.code.tag for failure in self.no}))
-        return outcome.failure("no_majority", seen)
+        """The failure to report when there is no majority."""
+        codes = ", ".join(sorted({failure.code.tag for failure in self.refusals}))
+        return outcome.failure("no_majority", codes)
 
     def outvoted(self) -> bool:
         """Whether a disk had promised a higher ballot."""
-        return any(failure.code.tag == OUTVOTED for failure in self.no)
+        return any(failure.code.tag == OUTVOTED for failure in self.refusals)
 
 
 class Quorum:
     """The member set as one registry knows it, and calls to its disks."""
 
-    def __init__(self, call_client: frames.CallClient, clock: ports.Clock, wait: float) -> None:
+    def __init__(self, call_client: frames.CallClient, clock: ports.Clock, call_timeout_s: float) -> None:
         self._call_client = call_client
         self._clock = clock
-        self._wait = wait
+        self._call_timeout_s = call_timeout_s
         self.members = register.EMPTY_MEMBER_SET
-        # Where a disk was last seen, which beats the address in the member set.
+        # Where a disk was last seen, which takes precedence over its address in the member set.
         self.addresses: dict[str, ports.Address] = {}
-        # Calls whose answer came too late to count, held until they end.
-        self._late: set[asyncio.Task[None]] = set()
+        # References to calls whose replies come too late to count, until they finish.
+        self._late_calls: set[asyncio.Task[None]] = set()
 
-    def adopt(self, fresh: register.MemberSet) -> bool:
-        """Take up a committed member set if it is newer."""
-        if fresh.epoch > self.members.epoch:
-            self.members = fresh
+    def adopt(self, newer: register.MemberSet) -> bool:
+        """Adopts a committed member set if it is newer."""
+        if newer.epoch > self.members.epoch:
+            self.members = newer
             return True
         return False
 
-    def address(self, disk: str, told: str) -> ports.Address:
-        """Where a disk is reached: as it was seen last, or as the member set tells."""
-        return self.addresses.get(disk) or ports.address_of(told)
+    def address(self, disk: str, listed_address: str) -> ports.Address:
+        """The address of a disk: where it was last seen, otherwise `default` from the member set."""
+        return self.addresses.get(disk) or ports.address_of(listed_address)
 
     async def call(
-        self, disk: str, address: ports.Address, request: DiskRequest, answer: type[Answer]
+        self, disk: str, address: ports.Address, request: DiskRequest, reply_type: type[Answer]
     ) -> outcome.Success[Answer] | outcome.Failure:
-        """Ask one disk; an answer that is malformed counts as none."""
+        """Calls one disk; a malformed reply counts as a failure."""
         body = messages.encode(dataclasses.replace(request, disk=disk))
-        result = await self._call_client.call(address, request.KIND, body, self._wait)
+        result = await self._call_client.call(address, request.KIND, body, self._call_timeout_s)
         if isinstance(result, outcome.Failure):
             return result
         try:
-            return outcome.Success(messages.decode(answer, result.value))
-        except ValueError as flaw:
-            return outcome.failure("bad_frame", f"{address}: {flaw}")
-
-    async def call_each(self, request: DiskRequest, answer: type[Answer]) -> dict[str, Answer]:
-        """The answers of all disks that answer in time, rather than of a majority."""
-        addresses = {d: self.address(d, told) for d, told in self.members.disks().items()}
+            return outcome.Success(messages.decode(reply_type, result.value))
+        except ValueError as error:
+            return outcome.failure("bad_frame", f"{address}: {error}")
+
+    async def call_each(self, request: DiskRequest, reply_type: type[Answer]) -> dict[str, Answer]:
+        """The replies of all disks that answer in time, not only of a majority."""
+        addresses = {
+            disk_id: self.address(disk_id, listed_address)
+            for disk_id, listed_address in self.members.disks().items()
+        }
         results = await asyncio.gather(
-            *(self.call(disk, address, request, answer) for disk, address in addresses.items())
+            *(self.call(disk, address, request, reply_type) for disk, address in addresses.items())
         )
         return {
             disk: result.value
@@ -96,94 +99,100 @@
             if isinstance(result, outcome.Success)
         }
 
-    async def call_all(self, groups: Groups, request: DiskRequest, answer: type[Answer]) -> Answers[Answer]:
-        """Ask every disk of the groups; return once each group has its majority or can't."""
-        return await self.call_others(groups, request, answer, {})
+    async def call_all(
+        self, groups: Groups, request: DiskRequest, reply_type: type[Answer]
+    ) -> Answers[Answer]:
+        """Calls every disk of the groups; returns once each group has a majority or can't get one."""
+        return await self.call_others(groups, request, reply_type, {})
 
     async def call_others(
         self,
         groups: Groups,
         request: DiskRequest,
-        answer: type[Answer],
+        reply_type: type[Answer],
         answered: typing.Mapping[str, Answer],
     ) -> Answers[Answer]:
-        """The same for the disks that have not answered yet; the answers of all.
+        """Calls the disks that are not in `answered`; returns these replies and the new ones.
 
-        Once a disk has told of a higher ballot or a later set, the others are waited for only a
-        moment longer: the next try is worth more than the answer of one that is silent.
+        Once a disk has reported a higher ballot or a later member set, the others are waited for only a
+        moment longer: the next attempt is worth more than the reply of a silent disk.
         """
-        yes: dict[str, Answer] = dict(answered)
-        no: dict[str, outcome.Failure] = {}
-        disks = {disk: told for group in groups for disk, told in group}
-        news = asyncio.Event()
+        replies: dict[str, Answer] = dict(answered)
+        refusals: dict[str, outcome.Failure] = {}
+        disks = {disk: listed_address for group in groups for disk, listed_address in group}
+        progress = asyncio.Event()
 
-        async def one(disk: str, address: ports.Address) -> None:
-            result = await self.call(disk, address, request, answer)
+        async def call_one(disk: str, address: ports.Address) -> None:
+            result = await self.call(disk, address, request, reply_type)
             if isinstance(result, outcome.Success):
-                yes[disk] = result.value
+                replies[disk] = result.value
             else:
-                no[disk] = result
-            news.set()
+                refusals[disk] = result
+            progress.set()
 
-        def settled() -> bool:
-            possible = disks.keys() - no.keys()
-            return register.has_majorities(groups, yes) or not register.has_majorities(groups, possible)
+        def is_decided() -> bool:
+            possible = disks.keys() - refusals.keys()
+            return register.has_majorities(groups, replies) or not register.has_majorities(groups, possible)
 
-        end: float | None = None
+        deadline: float | None = None
         tasks = [
-            asyncio.create_task(one(disk, self.address(disk, told)))
-            for disk, told in disks.items()
-            if disk not in yes
+            asyncio.create_task(call_one(disk, self.address(disk, listed_address)))
+            for disk, listed_address in disks.items()
+            if disk not in replies
         ]
         try:
-            while not settled():
-                news.clear()
-                if end is None and any(failure.code.tag in SUPERSEDED for failure in no.values()):
-                    end = self._clock.now() + self._wait * SUPERSEDED_WAIT
-                async with asyncio.timeout(None if end is None else max(0.0, end - self._clock.now())):
-                    await news.wait()
+            while not is_decided():
+                progress.clear()
+                if deadline is None and any(failure.code.tag in SUPERSEDED for failure in refusals.values()):
+                    deadline = self._clock.now() + self._call_timeout_s * SUPERSEDED_WAIT_FRACTION
+                async with asyncio.timeout(
+                    None if deadline is None else max(0.0, deadline - self._clock.now())
+                ):
+                    await progress.wait()
         except TimeoutError:
             pass
         finally:
-            # A straggler's answer is no longer needed, but its vote still helps:
-            # let calls that run end by themselves.
-            self._leave(tasks)
-        return Answers(groups, dict(yes), list(no.values()))
+            # A late reply is no longer needed, but the vote still helps: the remaining calls are left to
+            # finish.
+            self._keep_until_done(tasks)
+        return Answers(groups, dict(replies), list(refusals.values()))
 
-    def _leave(self, tasks: typing.Iterable["asyncio.Task[None]"]) -> None:
-        """Hold calls that nobody waits for any more until they end."""
+    def _keep_until_done(self, tasks: typing.Iterable["asyncio.Task[None]"]) -> None:
+        """Keeps references to calls that nobody awaits any more until they finish."""
         for task in tasks:
             if not task.done():
-                self._late.add(task)
-                task.add_done_callback(self._late.discard)
-
-    async def learn(self, more: typing.Iterable[ports.Address] = ()) -> bool:
-        """Ask the stores we know of for a newer member set; one that has it is enough."""
-        addresses = {self.address(d, s) for d, s in self.members.disks().items()} | set(more)
+                self._late_calls.add(task)
+                task.add_done_callback(self._late_calls.discard)
+
+    async def learn(self, extra_addresses: typing.Iterable[ports.Address] = ()) -> bool:
+        """Asks the known stores for a newer member set; returns as soon as one has it."""
+        addresses = {
+            self.address(disk, listed_address) for disk, listed_address in self.members.disks().items()
+        } | set(extra_addresses)
         before = self.members.epoch
-        news = asyncio.Event()
+        progress = asyncio.Event()
 
-        async def one(address: ports.Address) -> None:
-            result = await self._call_client.call(address, "state", {}, self._wait)
+        async def call_one(address: ports.Address) -> None:
+            result = await self._call_client.call(address, "state", {}, self._call_timeout_s)
             if isinstance(result, outcome.Success):
                 with contextlib.suppress(ValueError, TypeError, AttributeError, KeyError, OverflowError):
                     self.adopt(register.decode_member_set(result.value["set"]))
-            news.set()
+            progress.set()
 
-        tasks = [asyncio.create_task(one(address)) for address in sorted(addresses)]
+        tasks = [asyncio.create_task(call_one(address)) for address in sorted(addresses)]
         try:
             while self.members.epoch == before and not all(task.done() for task in tasks):
-                news.clear()
-                await news.wait()
+                progress.clear()
+                await progress.wait()
         finally:
-            self._leave(tasks)
+            self._keep_until_done(tasks)
         return self.members.epoch > before
 
     def groups_for(self, key: str, value: register.Value | None) -> Groups:
-        """The groups of which each must take part in a write of a key's value."""
+        """The groups that must all accept when the value of a key is written."""
         groups = self.members.groups
         if key == register.MEMBERS_KEY and value is not None and value.body:
-            # A member set is written to majorities of both the old set and its own.
-            extra = register.member_set_from_body(value).groups
-            groups = groups + tuple(g for g in extra if g not in groups)
+            # A member set is written to majorities of both the current set and the new one.
+            new_groups = register.member_set_from_body(value).groups
+            groups = groups + tuple(group for group in new_groups if group not in groups)
         return groups
--- a/packages/register/src/dykeswitch/register/replica.py
+++ b/packages/register/src/dykeswitch/register/replica.py
@@ -1,9 +1,9 @@
-"""What a store tells of its replica: the answer to the call `state`.
+"""What a store reports about its replica: the reply to the call `state`.
 
-The first five fields are as old as the call. Those that came later are optional on the
-wire: a store that does not send them stands in no known zone, may vote, and stays. A disk
-whose vote was taken away is never `blank` again, not even once it is emptied: it may get
-a vote anew, but it must not take part in founding a second member set.
+The first five fields are as old as the call. Later fields are optional on the wire: a store that does
+not send them is in no known zone, may vote, and is not stopping. A disk whose vote was removed is never
+`blank` again, not even when it is empty: it may get a vote again, but it must not take part in founding
+a second member set.
 """
 
 import dataclasses
@@ -12,12 +12,12 @@
 import dykeswitch.frames as frames
 import dykeswitch.register as register
 
-TEXT_MOST: typing.Final = 200
+MAX_TEXT_LENGTH: typing.Final = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Site:
-    """Where a store stands, and whether its machine counts towards the quorum."""
+    """The location of a store, and whether its machine is eligible for the quorum."""
 
     zone: str = ""
     region: str = ""
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicaState:
-    """One store's own account of its replica."""
+    """A store's report about its replica."""
 
     disk: str
     blank: bool
@@ -34,41 +34,42 @@
     members: register.MemberSet
     damaged: str = ""
     site: Site = Site()
-    # Emptied after its vote was taken away.
+    # Emptied after its vote was removed.
     erased: bool = False
     # Asked to stop: its vote should be handed over while it still answers.
     leaving: bool = False
-    # Where the store was reached; not part of what it tells.
+    # Where the store was reached; not part of its report.
     address: str = ""
 
     @property
     def vacant(self) -> bool:
-        """Whether it holds nothing, so that it may be given a vote."""
+        """Whether the disk holds no replica, so that it may be given a vote."""
         return self.blank or self.erased
 
     @property
     def usable(self) -> bool:
-        """Whether it can vote, and will go on voting."""
+        """Whether the replica can vote and will continue to."""
         return not self.damaged and not self.leaving
 
     @property
     def spare(self) -> bool:
-        """Whether it may be given a vote."""
+        """Whether the disk may be given a vote."""
         return self.vacant and self.usable
 
-    def holding(self, members: register.MemberSet) -> "ReplicaState":
-        """The same replica with a later member set."""
+    def with_members(self, members: register.MemberSet) -> "ReplicaState":
+        """The same state with a later member set."""
         return dataclasses.replace(self, members=members)
 
     def encode(self) -> frames.Body:
-        """The state as it goes over the wire."""
+        """The body of the reply on the wire."""
         return {
             "disk": self.disk,
             "blank": self.blank,
             "seated": self.seated,
             "set": self.members.to_wire(),
-            # What a system says of a disk may hold a long path: it must not cost the state.
-            "damaged": self.damaged[:TEXT_MOST],
+            # The operating system's error text may contain a long path; it is cut, as the whole state
+            # would be rejected otherwise.
+            "damaged": self.damaged[:MAX_TEXT_LENGTH],
             "zone": self.site.zone,
             "region": self.site.region,
             "eligible": self.site.eligible,
@@ -78,10 +79,10 @@
 
 
 def decode(body: frames.Body, address: str) -> ReplicaState:
-    """A state off the wire; raises `ValueError` where it is none."""
+    """Decodes and checks a state from the wire; raises `ValueError` if it is malformed."""
     disk = _text(body.get("disk"))
     if not disk:
-        raise ValueError("a replica without a disk id")
+        raise ValueError("the replica has no disk id")
     return ReplicaState(
         disk=disk,
         blank=_flag(body.get("blank")),
@@ -100,19 +101,19 @@
 
 
 def _text(raw: object) -> str:
-    if not isinstance(raw, str) or len(raw) > TEXT_MOST:
-        raise ValueError("not a short text")
+    if not isinstance(raw, str) or len(raw) > MAX_TEXT_LENGTH:
+        raise ValueError("not a text, or too long")
     return raw
 
 
 def _flag(raw: object) -> bool:
     if not isinstance(raw, bool):
-        raise ValueError("not a flag")
+        raise ValueError("not a boolean")
     return raw
 
 
 def _members(raw: typing.Any) -> register.MemberSet:
     try:
         return register.decode_member_set(raw)
-    except (TypeError, AttributeError) as flaw:
-        raise ValueError("not a member set") from flaw
+    except (TypeError, AttributeError) as error:
+        raise ValueError("not a valid member set") from error
--- a/packages/register/src/dykeswitch/register/shared_reads.py
+++ b/packages/register/src/dykeswitch/register/shared_reads.py
@@ -1,8 +1,8 @@
-"""Reads of one key that are asked for at about the same time share a round at the disks.
+"""Concurrent reads of a key share one round of requests to the disks.
 
-A read must tell of every change that was acknowledged before it was asked for. So a caller never
-joins a round that has begun: it joins the next one, together with all who ask meanwhile. A round
-that takes long, as beside a disk that is silent, does not hold up the next for more than a moment.
+A read must reflect every change that was acknowledged before the read was requested. So a caller never
+joins a round that has already started: it joins the next one, with all callers that arrive in the
+meantime. A long round, for example because a disk does not answer, delays the next one only briefly.
 """
 
 import asyncio
@@ -12,32 +12,32 @@
 
 
 class SharedReads(typing.Generic[Result]):
-    """Runs rounds of reads, at most one of which waits to begin for each key."""
+    """Runs rounds of reads; at most one round per key is waiting to start."""
 
     def __init__(
         self, read: typing.Callable[[str], typing.Coroutine[typing.Any, typing.Any, Result]], overlap_s: float
     ) -> None:
         self._read = read
-        # After how many seconds of a round the next one begins all the same.
+        # The next round starts when the previous one has finished or has run for this long.
         self._overlap_s = overlap_s
-        # The round of each key that began last, and the one that is to begin.
+        # For each key, the round that started last and the round that is waiting to start.
         self._running: dict[str, asyncio.Task[Result]] = {}
         self._waiting: dict[str, asyncio.Task[Result]] = {}
 
     async def read(self, key: str) -> Result:
-        """The result of a round that begins after this call."""
+        """Returns the result of a round that starts after this call."""
         waiting = self._waiting.get(key)
         if waiting is None:
-            waiting = asyncio.create_task(self._round(key))
+            waiting = asyncio.create_task(self._run_round(key))
             self._waiting[key] = waiting
-        # Others wait for the same round: who gives up on it does not end it.
+        # Other callers wait for the same round: cancelling one of them must not end it.
         return await asyncio.shield(waiting)
 
-    async def _round(self, key: str) -> Result:
-        before = self._running.get(key)
-        if before is not None and not before.done():
-            await asyncio.wait([before], timeout=self._overlap_s)
-        # From here on nobody may join.
+    async def _run_round(self, key: str) -> Result:
+        previous = self._running.get(key)
+        if previous is not None and not previous.done():
+            await asyncio.wait([previous], timeout=self._overlap_s)
+        # From here on no caller may join this round.
         task = self._waiting.pop(key)
         self._running[key] = task
         try:
--- a/packages/registry/src/dykeswitch/registry/reconfiguration.py
+++ b/packages/registry/src/dykeswitch/registry/reconfiguration.py
@@ -167,7 +167,7 @@
         )
         for state, result in zip(old, results):
             if isinstance(result, outcome.Success):
-                self.states[state.disk] = state.holding(members)
+                self.states[state.disk] = state.with_members(members)
         return self._holding(members.epoch)
 
     async def _tell(
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -37,13 +37,13 @@
 
 def _no_ballot_comparison(patch: pytest.MonkeyPatch) -> None:
     """A disk accepts below what it has promised."""
-    real = voters.Voter._take_up
+    real = voters.Voter._accept_value
 
     async def careless(self: voters.Voter, ask: messages.Accept) -> messages.Accepted:
         self._key_states.setdefault(ask.key, voters.KeyState()).promised = register.ZERO_BALLOT
         return await real(self, ask)
 
-    patch.setattr(voters.Voter, "_take_up", careless)
+    patch.setattr(voters.Voter, "_accept_value", careless)
 
 
 def _no_sync(patch: pytest.MonkeyPatch) -> None:
@@ -59,12 +59,12 @@
 
 def _no_epoch_check(patch: pytest.MonkeyPatch) -> None:
     """A disk answers calls that count by a member set that was left behind."""
-    real = voters.Voter._barred
+    real = voters.Voter._refusal
 
     def lenient(self: voters.Voter, key: str, disk: str, epoch: int) -> outcome.Failure | None:
         return real(self, key, disk, register.MAX_COUNT)
 
-    patch.setattr(voters.Voter, "_barred", lenient)
+    patch.setattr(voters.Voter, "_refusal", lenient)
 
 
 def _no_joint_majorities(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -441,6 +441,6 @@
         changed = await proposer.change("k", lambda now: now)
         assert isinstance(changed, outcome.Failure) and changed.code.tag == "no_majority"
         # A count that no ballot could pass was not taken up.
-        assert register.is_count(proposer._ballot()[0])
+        assert register.is_count(proposer._next_ballot()[0])
 
     loops.run(main())
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -269,13 +269,13 @@
         return 0
 
     async def read(self: proposers.Proposer, key: str) -> proposers.Read:
-        have = self.copies._held.get(key)
-        found = await self.copies.everyone(key)
+        have = self.copies._known.get(key)
+        found = await self.copies.read_all(key)
         if len(found) < 2:
             return outcome.failure("no_majority")
         top = max(copy.ballot for copy in found.values())
         newest = {disk: copy for disk, copy in found.items() if copy.ballot == top}
-        return outcome.Success(self.copies._value_of(key, top, newest, have))
+        return outcome.Success(self.copies._value_of_ballot(key, top, newest, have))
 
     patch.setattr(proposers.Proposer, "repair_copies", repair_copies)
     # Each read waits for the core that is down: with all the changes it is a day of five minutes.
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -330,7 +330,7 @@
             state = self.states.get(gone)
             if state is not None and state.members.epoch < members.epoch:
                 await self._tell(state, messages.Install(members, gone))
-                self.states[gone] = state.holding(members)
+                self.states[gone] = state.with_members(members)
             return self._holding(members.epoch)
 
         monkeypatch.setattr(reconfiguration, "_install", one_sided)
@@ -441,7 +441,7 @@
             messages.Prepare("layout", (0, "x"), proposer.members.epoch, ""),
             messages.Promise,
         )
-        assert not answers.yes and len(answers.no) >= 2
+        assert not answers.replies and len(answers.refusals) >= 2
         assert fleet.clock.now() - begun < registry.config.call_timeout_s / 2
 
     loops.run(main())
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -235,12 +235,12 @@
 
 def _votes_blank(patch: pytest.MonkeyPatch) -> None:
     # The disk's id and its seat cover for each other: both are taken away.
-    barred = voters.Voter._barred
+    barred = voters.Voter._refusal
 
     def lax(self: voters.Voter, key: str, disk: str, epoch: int) -> outcome.Failure | None:
         return barred(self, register.MEMBERS_KEY, self.disk_id, epoch)
 
-    patch.setattr(voters.Voter, "_barred", lax)
+    patch.setattr(voters.Voter, "_refusal", lax)
 
 
 @pytest.mark.parametrize("guarded", [True, False])
@@ -411,8 +411,8 @@
         await asyncio.sleep(0.1)
         whole = proposer.quorum.call_all
 
-        async def slowly(groups: typing.Any, request: typing.Any, answer: typing.Any) -> typing.Any:
-            found: typing.Any = await whole(groups, request, answer)
+        async def slowly(groups: typing.Any, request: typing.Any, reply_type: typing.Any) -> typing.Any:
+            found: typing.Any = await whole(groups, request, reply_type)
             if isinstance(request, messages.Read):
                 proposer.quorum.call_all = whole  # type: ignore[method-assign]
                 _good(await proposer.change("k", benches.put(b"two", "2")))
@@ -487,7 +487,7 @@
         by_node = {n.daemon.voter.disk_id: n for n in bench.nodes}
         lags, holds, lost, spare = (by_node[disk] for disk, _ in every)
         # The fourth is not seated: it is the blank one that waits.
-        spare.daemon.voter._set = register.EMPTY_MEMBER_SET
+        spare.daemon.voter._members = register.EMPTY_MEMBER_SET
         bench.members = register.MemberSet(1, (every[:3],))
         lags.lose_power()
         _good(await bench.proposer("a").change("k", benches.put(b"new", "1")))
