--- a/packages/layout/src/dykeswitch/layout/__init__.py
+++ b/packages/layout/src/dykeswitch/layout/__init__.py
@@ -1,12 +1,12 @@
-"""Layouts: what operators send, checked as a whole and compiled into rules.
+"""Layouts: documents from operators, checked as a whole and compiled into routing rules.
 
-`schema` is the document as it is written, `model` the layout as the programs use it; `parser`
-leads from one to the other by the checks in `checker`.
+`schema` describes the document as operators write it and `model` the checked layout that the programs
+use; `parser` converts the former to the latter by means of the checks in `checker`.
 """
 
 from dykeswitch.layout.model import DEFAULT_PROBE, Bounds, Layout, Rule, Service, limits, prefixes, serialize
 from dykeswitch.layout.parser import (
-    RULES_PER_TURN,
+    RULES_PER_STEP,
     Read,
     check,
     check_cooperatively,
@@ -17,7 +17,7 @@
 
 __all__ = [
     "DEFAULT_PROBE",
-    "RULES_PER_TURN",
+    "RULES_PER_STEP",
     "Bounds",
     "BoundsDoc",
     "Layout",
--- a/packages/layout/src/dykeswitch/layout/objects.py
+++ b/packages/layout/src/dykeswitch/layout/objects.py
@@ -1,7 +1,7 @@
-"""Kubernetes-style objects as layouts: translated into the one layout type.
+"""Layouts from Kubernetes-style objects.
 
-Two kinds are known: `Service` and `HTTPRoute`. What they do not say here is not
-guessed: anything else in them is a fault.
+The kinds `Service` and `HTTPRoute` are supported. Missing settings are not guessed, and anything
+unknown in the objects is a fault.
 """
 
 import typing
@@ -17,23 +17,23 @@
 
 
 def read(data: bytes) -> outcome.Success[layouts.Layout] | outcome.Failure:
-    """A layout out of YAML documents, or every fault by its path."""
+    """Converts YAML documents into a layout, or returns every fault with its path."""
     try:
         documents = [doc for doc in yaml.safe_load_all(data) if doc is not None]
-    except (yaml.YAMLError, UnicodeDecodeError) as flaw:
-        return outcome.failure("bad_layout", faults=(f"not YAML: {str(flaw)[:200]}",))
+    except (yaml.YAMLError, UnicodeDecodeError) as error:
+        return outcome.failure("bad_layout", faults=(f"not YAML: {str(error)[:200]}",))
     faults: list[str] = []
     services: dict[str, typing.Any] = {}
     rules: list[dict[str, typing.Any]] = []
-    for n, doc in enumerate(documents):
-        path = f"documents[{n}]"
+    for index, doc in enumerate(documents):
+        path = f"documents[{index}]"
         kind = doc.get("kind") if isinstance(doc, dict) else None
         meta = doc.get("metadata") if isinstance(doc, dict) else None
         name = meta.get("name") if isinstance(meta, dict) else None
         if not isinstance(meta, dict) or not isinstance(name, str):
             faults.append(f"{path}.metadata.name: missing")
         elif kind == "Service":
-            services[name] = _notes(meta, SERVICE_KEYS, path, faults)
+            services[name] = _annotations(meta, SERVICE_KEYS, path, faults)
         elif kind == "HTTPRoute":
             rules += _route(doc, meta, path, faults)
         else:
@@ -43,20 +43,20 @@
     return layouts.check({"services": services, "rules": rules})
 
 
-def _notes(
+def _annotations(
     meta: dict[str, typing.Any], keys: typing.Sequence[str], path: str, faults: list[str]
 ) -> dict[str, typing.Any]:
-    """Our own settings, as annotations; YAML's own reading gives them their types."""
+    """Reads this project's settings from annotations; the YAML parser determines their types."""
     found: dict[str, typing.Any] = {}
-    notes = meta.get("annotations") or {}
-    for key, text in notes.items() if isinstance(notes, dict) else ():
+    annotations = meta.get("annotations") or {}
+    for key, text in annotations.items() if isinstance(annotations, dict) else ():
         if not str(key).startswith(PREFIX):
             continue
-        word = str(key)[len(PREFIX) :].replace("-", "_")
-        if word not in keys:
+        setting = str(key)[len(PREFIX) :].replace("-", "_")
+        if setting not in keys:
             faults.append(f"{path}.metadata.annotations.{key}: unknown")
         else:
-            found[word] = yaml.safe_load(text) if isinstance(text, str) else text
+            found[setting] = yaml.safe_load(text) if isinstance(text, str) else text
     return found
 
 
@@ -69,17 +69,17 @@
     if not isinstance(spec, dict) or not isinstance(entries, list):
         faults.append(f"{path}.spec.rules: must be a list")
         return found
-    shared = _notes(meta, RULE_KEYS, path, faults)
-    for n, entry in enumerate(entries):
-        address = f"{path}.spec.rules[{n}]"
-        backs = entry.get("backendRefs") if isinstance(entry, dict) else None
-        if not isinstance(backs, list) or len(backs) != 1 or not isinstance(backs[0], dict):
-            faults.append(f"{address}.backendRefs: must name one service")
+    shared = _annotations(meta, RULE_KEYS, path, faults)
+    for index, entry in enumerate(entries):
+        rule_path = f"{path}.spec.rules[{index}]"
+        backends = entry.get("backendRefs") if isinstance(entry, dict) else None
+        if not isinstance(backends, list) or len(backends) != 1 or not isinstance(backends[0], dict):
+            faults.append(f"{rule_path}.backendRefs: must name one service")
             continue
-        for m, match in enumerate(entry.get("matches") or [{}]):
-            rule = _match(match, f"{address}.matches[{m}]", faults)
+        for match_index, match in enumerate(entry.get("matches") or [{}]):
+            rule = _match(match, f"{rule_path}.matches[{match_index}]", faults)
             for host in spec.get("hostnames") or [""]:
-                whole = {**shared, **rule, "service": backs[0].get("name")}
+                whole = {**shared, **rule, "service": backends[0].get("name")}
                 found.append({**whole, "host": host} if host else whole)
     return found
 
@@ -92,11 +92,11 @@
     for key in match:
         if key not in ("path", "method"):
             faults.append(f"{path}.{key}: unknown")
-    where = match.get("path")
-    if isinstance(where, dict):
-        if where.get("type", "PathPrefix") != "PathPrefix":
-            faults.append(f"{path}.path.type: only PathPrefix is known")
-        rule["path"] = where.get("value", "/")
+    path_match = match.get("path")
+    if isinstance(path_match, dict):
+        if path_match.get("type", "PathPrefix") != "PathPrefix":
+            faults.append(f"{path}.path.type: only PathPrefix is supported")
+        rule["path"] = path_match.get("value", "/")
     if "method" in match:
         rule["methods"] = [match["method"]]
     return rule
--- a/packages/layout/src/dykeswitch/layout/pauses.py
+++ b/packages/layout/src/dykeswitch/layout/pauses.py
@@ -1,4 +1,4 @@
-"""Planned pauses: an operator's word that an endpoint is out for a window of time."""
+"""Planned pauses: periods in which an operator takes an endpoint out of service."""
 
 import dataclasses
 import json
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pause:
-    """One planned pause, in the fleet's common wall time."""
+    """One planned pause; its times are wall clock time, which the whole fleet shares."""
 
     name: str
     endpoint: str
@@ -17,43 +17,46 @@
     by: str
     made: float
 
-    def open(self, wall: float) -> bool:
-        """Whether the pause is in force at a moment of the fleet's wall time."""
-        return self.begins <= wall < self.ends
+    def is_active(self, wall_time: float) -> bool:
+        """Whether the pause is in force at the given wall clock time."""
+        return self.begins <= wall_time < self.ends
 
 
 class PausesError(ValueError):
-    """A document that holds no pauses, or odd ones."""
+    """A document is not a valid list of pauses."""
 
 
-TEXTS: typing.Final = ("name", "endpoint", "reason", "by")
-MOMENTS: typing.Final = ("begins", "ends", "made")
+TEXT_FIELDS: typing.Final = ("name", "endpoint", "reason", "by")
+TIME_FIELDS: typing.Final = ("begins", "ends", "made")
 
 
 def read(data: bytes) -> list[Pause]:
-    """The pauses in a document, none in an empty one; raises `PausesError` where it can't be read."""
+    """Reads the pauses in a document; an empty document has none.
+
+    Raises `PausesError` if the document is malformed.
+    """
     if not data:
         return []
     try:
-        rows = json.loads(data)
-    except (ValueError, RecursionError) as flaw:
-        raise PausesError(str(flaw)) from flaw
-    if not isinstance(rows, list):
+        entries = json.loads(data)
+    except (ValueError, RecursionError) as error:
+        raise PausesError(str(error)) from error
+    if not isinstance(entries, list):
         raise PausesError("not a list")
-    return [_read_pause(raw) for raw in rows]
+    return [_read_pause(raw) for raw in entries]
 
 
 def _read_pause(raw: object) -> Pause:
-    if not isinstance(raw, dict) or set(raw) != {*TEXTS, *MOMENTS}:
-        raise PausesError("not a pause")
-    if not all(isinstance(raw[name], str) for name in TEXTS):
-        raise PausesError("a pause with a name that is no text")
-    for name in MOMENTS:
+    if not isinstance(raw, dict) or set(raw) != {*TEXT_FIELDS, *TIME_FIELDS}:
+        raise PausesError("not a valid pause")
+    if not all(isinstance(raw[name], str) for name in TEXT_FIELDS):
+        raise PausesError("a text field of a pause is not text")
+    for name in TIME_FIELDS:
         if isinstance(raw[name], bool) or not isinstance(raw[name], (int, float)):
-            raise PausesError("a pause with a moment that is no number")
+            raise PausesError("a time of a pause is not a number")
     return Pause(**raw)
 
 
 def serialize(pauses: typing.Iterable[Pause]) -> bytes:
-    """Pauses as a paper's body."""
-    return json.dumps([dataclasses.asdict(p) for p in pauses], sort_keys=True).encode()
+    """Encodes pauses as the body of a document."""
+    return json.dumps([dataclasses.asdict(pause) for pause in pauses], sort_keys=True).encode()
--- a/packages/layout/src/dykeswitch/layout/schema.py
+++ b/packages/layout/src/dykeswitch/layout/schema.py
@@ -1,10 +1,10 @@
-"""The document of a layout, as the operator writes it."""
+"""The document of a layout, as operators write it."""
 
 import typing
 
 
 class ServiceDoc(typing.TypedDict, total=False):
-    """One service as the operator writes it."""
+    """One service."""
 
     probe: str
     expiry_s: float
@@ -14,14 +14,14 @@
 
 
 class ShareDoc(typing.TypedDict):
-    """One service's part of a rule that is split over several."""
+    """The share of one service in a rule that is split over several services."""
 
     service: str
     weight: float
 
 
 class RuleDoc(typing.TypedDict, total=False):
-    """One rule as the operator writes it."""
+    """One routing rule."""
 
     name: str
     host: str
@@ -38,7 +38,7 @@
 
 
 class BoundsDoc(typing.TypedDict, total=False):
-    """What callers may send, and how long they may take or stay idle: bytes and seconds."""
+    """Limits on what clients may send, in bytes, and on how long they may take or stay idle, in seconds."""
 
     head_most: int
     body_most: int
@@ -47,7 +47,7 @@
 
 
 class LayoutDoc(typing.TypedDict, total=False):
-    """A whole layout as the operator writes it; `services` and `rules` must be there."""
+    """A whole layout; `services` and `rules` are required."""
 
     services: dict[str, ServiceDoc]
     rules: list[RuleDoc]
--- a/packages/proxy/src/dykeswitch/proxy/program.py
+++ b/packages/proxy/src/dykeswitch/proxy/program.py
@@ -138,7 +138,7 @@
         if not self._pauses:
             return None
         wall = self.gossip.wall()
-        return next((p.reason for p in self._pauses if p.endpoint == endpoint and p.open(wall)), None)
+        return next((p.reason for p in self._pauses if p.endpoint == endpoint and p.is_active(wall)), None)
 
     def _say_self(self) -> None:
         fields = {
--- a/packages/registry/src/dykeswitch/registry/replies.py
+++ b/packages/registry/src/dykeswitch/registry/replies.py
@@ -123,7 +123,7 @@
         found: list[list[typing.Any]] = []
         wall = self._wall()
         for pause in self._planned():
-            if pause.endpoint == entry.key and pause.open(wall):
+            if pause.endpoint == entry.key and pause.is_active(wall):
                 found.append([pause.reason, stamp(pause.ends), pause.by, f"planned {pause.name}"])
         state = entry.fields["state"]
         if state != timelines.UP:
--- a/packages/store/src/dykeswitch/store/__init__.py
+++ b/packages/store/src/dykeswitch/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store: votes and keeps the register; nothing else."""
+"""The store: keeps the register on a disk and votes on its changes."""
--- a/packages/store/src/dykeswitch/store/program.py
+++ b/packages/store/src/dykeswitch/store/program.py
@@ -1,4 +1,4 @@
-"""The store's process."""
+"""The store process."""
 
 import asyncio
 import random
@@ -33,21 +33,21 @@
         self.stopping = False
 
     def ready(self) -> str | None:
-        """Why this store is not ready, or nothing."""
+        """Why this store is not ready, or None if it is."""
         if self.stopping:
             return "stopping"
         if self.voter.disk_fault:
             return f"disk: {self.voter.disk_fault}"
         if not self.voter.has_vote():
-            return "not seated in a member set"
+            return "no vote in a member set"
         return None
 
     def counts(self) -> dict[str, int]:
-        """What its frames carried, for whoever counts."""
+        """Counters of the calls that this store has answered."""
         return dict(self.meter.counts)
 
     async def run(self) -> None:
-        """Vote until told to stop."""
+        """Serves the register until asked to stop."""
         if not await self._open():
             return
         call_server = frames.CallServer(self.voter.kinds(), self.log.note, self.meter)
@@ -55,8 +55,8 @@
         server: ports.WebServer | None = None
         try:
             if self.config.web:
-                more = {"disk": self.voter.disk_id}
-                app = pages.app("/readyz", self.ready, more, ("store", self.config.name, self.counts))
+                details = {"disk": self.voter.disk_id}
+                app = pages.app("/readyz", self.ready, details, ("store", self.config.name, self.counts))
                 server = await self.machine.web.serve(self.config.web, app)
             self.log.info("started", store=self.config.store, disk=self.voter.disk_id)
             await self._stop.wait()
@@ -69,12 +69,12 @@
         self.log.info("stopped")
 
     async def _open(self) -> bool:
-        """Read the disk, trying again while it does not serve; false if told to stop before."""
+        """Reads the disk, retrying while it does not work; returns False if asked to stop before."""
         stopped = asyncio.create_task(self._stop.wait())
         try:
             while not self._stop.is_set():
                 opening = asyncio.create_task(self.voter.open())
-                # A disk that stalls must not hold up an orderly stop.
+                # A stalled disk must not delay an orderly stop.
                 await asyncio.wait([opening, stopped], return_when=asyncio.FIRST_COMPLETED)
                 if not opening.done():
                     opening.cancel()
@@ -82,32 +82,38 @@
                 try:
                     await opening
                     return True
-                except OSError as flaw:
-                    self.log.warning("disk does not open", why=str(flaw))
+                except OSError as error:
+                    self.log.warning("disk does not open", why=str(error))
                 await self.machine.clock.sleep(self.config.clock_gap_s)
             return False
         finally:
             stopped.cancel()
 
     async def _hand_over(self) -> None:
-        """Vote on for a while, so that another store may take the vote over.
+        """Continues to vote for a while, so that another store can take over the vote.
 
-        A store can't know whether it will come back. Its vote goes to a vacant store that
-        waits, if there is one; where none comes forward soon, it keeps its vote and stops.
+        A store can't know whether it will be started again. Its vote goes to a vacant store that is
+        waiting for one; if none takes it in time, this store keeps its vote and stops.
         """
         self.voter.leaving = True
         clock = self.machine.clock
-        begun = clock.now()
+        started_at = clock.now()
         while not self.voter.is_vacant():
-            span = self.config.max_handover_s if self.voter.is_replaced() else self.config.handover_wait_s
-            if self.voter.disk_fault or clock.now() - begun >= span:
+            timeout_s = (
+                self.config.max_handover_s if self.voter.is_replaced() else self.config.handover_wait_s
+            )
+            if self.voter.disk_fault or clock.now() - started_at >= timeout_s:
                 return
             await clock.sleep(self.config.tick_interval_s / 2)
 
     def stop(self) -> None:
-        """Ask for an orderly stop."""
+        """Requests an orderly stop."""
         self._stop.set()
 
     def reload_settings(self, config: settings.Settings) -> None:
-        """Take up changed settings, as far as a running program can: seeds; the rest at a start."""
+        """Accepts changed settings.
+
+        A running process can only change its seeds, which a store does not use; the other settings
+        apply from the next start.
+        """
         self.log.info("settings changed")
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -91,10 +91,10 @@
     real = documents.Documents.apply
 
     async def eager(self: documents.Documents, name: str, version: int, data: bytes) -> bool:
-        held = self._held.pop(name, None)
+        held = self._documents.pop(name, None)
         taken = await real(self, name, version, data)
         if held is not None and not taken:
-            self._held[name] = held
+            self._documents[name] = held
         return taken
 
     patch.setattr(documents.Documents, "apply", eager)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -40,7 +40,7 @@
         assert isinstance(result, outcome.Success)
         assert len(result.value.rules) == 20_000
         # One turn for each stretch of rules, and none where it is read in one go.
-        assert (turns > 20_000 / layouts.RULES_PER_TURN) is gently
+        assert (turns > 20_000 / layouts.RULES_PER_STEP) is gently
 
     asyncio.run(main())
 
