--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""Layouts: large ones are read while other work goes on; garbage of every kind is refused."""
+"""Layouts: large ones are read cooperatively, and malformed ones are rejected."""
 
 import asyncio
 import json
@@ -21,8 +21,8 @@
     return json.dumps(doc).encode()
 
 
-@pytest.mark.parametrize("gently", [True, False])
-def test_others_have_their_turn_while_a_large_layout_is_read(gently: bool) -> None:
+@pytest.mark.parametrize("cooperatively", [True, False])
+def test_others_have_their_turn_while_a_large_layout_is_read(cooperatively: bool) -> None:
     turns = 0
 
     async def other() -> None:
@@ -35,40 +35,40 @@
         task = asyncio.create_task(other())
         await asyncio.sleep(0)
         data = _large(20_000)
-        result = await layouts.read_cooperatively(data) if gently else layouts.read(data)
+        result = await layouts.read_cooperatively(data) if cooperatively else layouts.read(data)
         task.cancel()
         assert isinstance(result, outcome.Success)
         assert len(result.value.rules) == 20_000
-        # One turn for each stretch of rules, and none where it is read in one go.
-        assert (turns > 20_000 / layouts.RULES_PER_STEP) is gently
+        # Another task runs once per step of rules, and not at all while the whole is read at once.
+        assert (turns > 20_000 / layouts.RULES_PER_STEP) is cooperatively
 
     asyncio.run(main())
 
 
 def test_a_small_newer_layout_is_not_undone_by_a_large_older_one() -> None:
-    """The larger is still being read when the smaller comes."""
+    """The larger layout is still being read when the smaller one arrives."""
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, loops.VirtualLoop)
         timeline = timelines.Timeline("p", worlds.SimClock(loop), 900.0)
-        took: list[int] = []
+        applied: list[int] = []
 
         async def reads(name: str, version: int, data: bytes) -> documents.Apply | None:
             await asyncio.sleep(float(data))
-            return lambda: took.append(version)
+            return lambda: applied.append(version)
 
         call_client = frames.CallClient(typing.cast(typing.Any, None))
-        held = documents.Documents(timeline, call_client, 1.0, reads)
+        member_documents = documents.Documents(timeline, call_client, 1.0, reads)
         done = await asyncio.gather(
-            held.apply(documents.LAYOUT, 3, b"0.1"),
-            held.apply(documents.LAYOUT, 2, b"5"),
-            held.apply(documents.LAYOUT, 4, b"1"),
-            held.apply(documents.LAYOUT, 4, b"1"),
+            member_documents.apply(documents.LAYOUT, 3, b"0.1"),
+            member_documents.apply(documents.LAYOUT, 2, b"5"),
+            member_documents.apply(documents.LAYOUT, 4, b"1"),
+            member_documents.apply(documents.LAYOUT, 4, b"1"),
         )
         assert list(done) == [True, False, True, False]
-        assert took == [3, 4]
-        assert held.version(documents.LAYOUT) == 4
+        assert applied == [3, 4]
+        assert member_documents.version(documents.LAYOUT) == 4
 
     loops.run(main())
 
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -1,4 +1,4 @@
-"""Hundreds of changes in a row with layouts of hundreds of routes: what they cost stays flat."""
+"""The cost of a change stays constant over hundreds of changes to large layouts."""
 
 import asyncio
 import dataclasses
@@ -26,8 +26,8 @@
 
 ROUTES: typing.Final = 300
 STORES: typing.Final = 3
-WAIT_S: typing.Final = 0.5
-MISSED: typing.Final = 40
+CALL_TIMEOUT_S: typing.Final = 0.5
+MISSED_CHANGES: typing.Final = 40
 SMALL: typing.Final = shapes.Shape(
     "small", 1, 3, ("z1",), (shapes.ServiceShape("pages", 2, 1, "/pages", "GET", 0.01),)
 )
@@ -35,11 +35,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cost:
-    """What stands after so many changes, on one store."""
+    """What a number of changes cost on one store."""
 
     changes: int
-    bytes_a_change: float
-    syncs_a_change: float
+    bytes_per_change: float
+    syncs_per_change: float
     files: int
     bytes_on_disk: int
     open_syncs: int
@@ -47,7 +47,7 @@
 
 
 def _layout(change: int) -> bytes:
-    """A document of hundreds of routes, of which each change moves one."""
+    """A document of hundreds of routes; each change alters one of them."""
     routes = [
         {"path": f"/route-{n}/part", "service": f"service-{n % 20}", "methods": ["GET"], "expiry_s": 1.5}
         for n in range(ROUTES)
@@ -57,7 +57,7 @@
 
 
 class Stores:
-    """Voters behind a caller that calls them directly."""
+    """Voters, and a call client that calls them directly."""
 
     def __init__(self, scratch: pathlib.Path) -> None:
         self.disks: list[disks.SimDisk] = []
@@ -80,7 +80,7 @@
             typing.cast(frames.CallClient, self),
             worlds.SimClock(typing.cast(loops.VirtualLoop, asyncio.get_running_loop())),
             ports.NoFaultPoints(),
-            WAIT_S,
+            CALL_TIMEOUT_S,
             random.Random(1),
         )
         proposer.quorum.adopt(members)
@@ -115,28 +115,30 @@
     for change in range(changes):
         result = await proposer.change("layout", _put(change))
         assert isinstance(result, outcome.Success)
-        # The straggler of each call ends before the next change.
+        # The late call of each round ends before the next change.
         await asyncio.sleep(0)
-    await asyncio.sleep(WAIT_S)
+    await asyncio.sleep(CALL_TIMEOUT_S)
     written, syncs = disk.synced_bytes - bytes_before, disk.syncs - syncs_before
     files = [path for path in disk.root.rglob("*") if path.is_file()]
     on_disk = sum(path.stat().st_size for path in files)
     disk.lose_power(lambda options: 0)
-    woken = disk.wake()
+    restarted_disk = disk.wake()
     gc.collect()
     tracemalloc.start()
-    voter = await _open(woken)
+    voter = await _open(restarted_disk)
     gc.collect()
     memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     key_state = voter._key_states["layout"]
     assert (key_state.value.version, key_state.value.body) == (changes, _layout(changes - 1))
     assert len(key_state.value.ops) <= register.MAX_OPS
-    return Cost(changes, written / changes, syncs / changes, len(files), on_disk, woken.syncs, memory)
+    return Cost(
+        changes, written / changes, syncs / changes, len(files), on_disk, restarted_disk.syncs, memory
+    )
 
 
 def test_what_a_change_costs_does_not_grow_with_the_changes_before(tmp_path: pathlib.Path) -> None:
-    """Bytes and syncs of a change, what is left on the disk, and the start: flat however many there are."""
+    """Bytes and syncs per change, remaining files and the cost of a start don't grow with changes."""
 
     async def cost(changes: int) -> Cost:
         scratch = tmp_path / f"{changes}"
@@ -145,24 +147,24 @@
 
     costs = [loops.run(cost(changes)) for changes in (30, 100, 300)]
     first, last = costs[0], costs[-1]
-    for found in costs:
-        print(found)
-        # A promise and an acceptance each write the whole record, and little beside it.
-        assert found.bytes_a_change < 2.2 * len(_layout(0))
-        assert found.files == first.files
-        assert found.open_syncs == first.open_syncs
-    assert last.bytes_a_change < first.bytes_a_change * 1.05
-    assert last.syncs_a_change <= first.syncs_a_change
+    for measured in costs:
+        print(measured)
+        # The promise and the accept each write the whole record, with little overhead.
+        assert measured.bytes_per_change < 2.2 * len(_layout(0))
+        assert measured.files == first.files
+        assert measured.open_syncs == first.open_syncs
+    assert last.bytes_per_change < first.bytes_per_change * 1.05
+    assert last.syncs_per_change <= first.syncs_per_change
     assert last.bytes_on_disk < first.bytes_on_disk * 1.05
     assert last.memory < first.memory * 1.1
 
 
 def test_one_generation_of_a_key_is_left_at_any_time(tmp_path: pathlib.Path) -> None:
     disk = disks.SimDisk(tmp_path, random.Random(1))
-    opened = storage.Storage(disk, ports.NoFaultPoints())
-    opened.open()
+    opened_storage = storage.Storage(disk, ports.NoFaultPoints())
+    opened_storage.open()
     for number in range(300):
-        opened.put("k", number)
+        opened_storage.put("k", number)
         names = [path.name for path in (tmp_path / "register" / b"k".hex()).iterdir()]
         assert names == [f"g{number + 1:012d}"]
 
@@ -171,14 +173,14 @@
 def test_a_member_that_missed_changes_needs_one_write_to_be_current(
     changes: int, tmp_path: pathlib.Path
 ) -> None:
-    """It votes at once, by what is on its disk; a sweep brings the newest value, however many it missed."""
+    """The member votes at once with what is on its disk; one sweep brings the newest value."""
 
     async def main() -> None:
         stores = Stores(tmp_path)
         proposer = await stores.start()
         assert isinstance(await proposer.change("layout", _put(0)), outcome.Success)
-        away = stores.address(2)
-        voter = stores.voters.pop(away)
+        absent = stores.address(2)
+        voter = stores.voters.pop(absent)
 
         async def call(address: str, kind: str, body: frames.Body, timeout_s: float) -> frames.Result:
             if address not in stores.voters:
@@ -188,13 +190,13 @@
         proposer.quorum._call_client.call = call  # type: ignore[method-assign]
         for change in range(1, changes + 1):
             assert isinstance(await proposer.change("layout", _put(change)), outcome.Success)
-        stores.voters[away] = voter
+        stores.voters[absent] = voter
         disk = stores.disks[2]
         syncs = disk.syncs
         assert await proposer.repair_copies() == 1
-        await asyncio.sleep(WAIT_S)
+        await asyncio.sleep(CALL_TIMEOUT_S)
         assert voter._key_states["layout"].value.version == changes + 1
-        # The acceptance that it missed, sent once more: one write of three files and two folders.
+        # The missed accept is sent again: one write of three files and two directories.
         assert disk.syncs - syncs == 5
 
     loops.run(main())
@@ -202,23 +204,23 @@
 
 @pytest.mark.parametrize("how", ["killed", "without power", "frozen", "wiped"])
 def test_a_member_is_current_soon_after_it_is_back(how: str, tmp_path: pathlib.Path) -> None:
-    """After 40 changes that it missed: it holds the newest layout, and has its vote again."""
+    """After 40 missed changes a store soon has the newest layout and its vote again."""
 
     async def main() -> None:
         fleet = fleets.SimFleet(SMALL, 3, tmp_path)
         await fleet.start()
         core = fleet.cores[2]
         _take_away(core.store, how)
-        for change in range(MISSED):
+        for change in range(MISSED_CHANGES):
             await fleet.apply({**SMALL.layout(), "rules": _rules(change)})
             await asyncio.sleep(0.5)
-        # Until the last call that was on its way to it has ended.
+        # Until the last call that was on its way to the store has ended.
         await asyncio.sleep(2.0)
         _bring_back(core.store, how)
-        took = await fleet.until(lambda: _current(fleet), 30, "the store current")
-        print(f"{how}: current and seated after {took:.1f} s")
-        # A sweep every third of `recover_s` is the bound; a blank disk is seated first.
-        assert took < 7.0
+        duration_s = await fleet.until(lambda: _current(fleet), 30, "the store being current")
+        print(f"{how}: current with a vote after {duration_s:.1f} s")
+        # The bound is one sweep per third of `recover_s`; a blank disk gets its vote first.
+        assert duration_s < 7.0
 
     loops.run(main())
 
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement of votes: what must be borne is borne wherever the machines allow it."""
+"""Placement of votes: required losses are survived wherever the machines allow it."""
 
 import itertools
 import typing
@@ -28,7 +28,7 @@
 
 
 def _survives(voters: typing.Collection[str], sites: Sites, tolerance: placement.Tolerance) -> bool:
-    """By trying every loss."""
+    """Whether a majority remains after each possible loss, found by trying all of them."""
     zones = sorted({sites[d].zone for d in voters})
     regions = sorted({sites[d].region for d in voters})
     losses = [set(c) for c in itertools.combinations(sorted(voters), min(tolerance.machines, len(voters)))]
@@ -39,24 +39,24 @@
     return all(len(set(voters) - lost) * 2 > len(voters) for lost in losses)
 
 
-def _settled(
+def _steps_until_stable(
     voters: set[str], departing: list[str], sites: Sites, tolerance: placement.Tolerance
 ) -> list[set[str]]:
-    """Every set of voters that the changes lead through, until none is left to make."""
-    seen = [set(voters)]
-    gone: set[str] = set()
+    """Every set of voters that successive changes lead through, until there is no further change."""
+    steps = [set(voters)]
+    removed: set[str] = set()
     while True:
-        now = seen[-1]
-        spares = set(sites) - now - gone - set(departing)
-        leaving = [d for d in departing if d in now]
-        change = placement.next_change(sorted(now), leaving, sorted(spares), sites, tolerance)
+        current = steps[-1]
+        spares = set(sites) - current - removed - set(departing)
+        leaving = [d for d in departing if d in current]
+        change = placement.next_change(sorted(current), leaving, sorted(spares), sites, tolerance)
         if change is None:
-            return seen
-        assert len(seen) < 20, "the changes never end"
-        assert set(change.remove) <= now and not set(change.add) & now
-        assert len(change.remove) <= len(change.add), "a vote was taken away for nothing"
+            return steps
+        assert len(steps) < 20, "the changes never end"
+        assert set(change.remove) <= current and not set(change.add) & current
+        assert len(change.remove) <= len(change.add), "a vote was removed without a replacement"
         assert len(change.remove) <= 1, "more than one vote moved at once"
-        seen.append((now - set(change.remove)) | set(change.add))
+        steps.append((current - set(change.remove)) | set(change.add))
 
 
 @hypothesis.given(_sites(), _TOLERANCES)
@@ -70,11 +70,11 @@
 def test_what_any_choice_of_one_kind_of_domain_bears_is_borne_in_the_end(
     sites: Sites, tolerance: placement.Tolerance, data: st.DataObject
 ) -> None:
-    # Zones and regions at once may pull apart; a deployment speaks of one of them.
+    # Zones and regions together may conflict; a deployment sets the tolerance for one of them.
     if tolerance.zones and tolerance.regions:
         tolerance = placement.Tolerance(tolerance.machines, tolerance.zones, 0)
     voters = set(data.draw(st.lists(st.sampled_from(sorted(sites)), min_size=1, max_size=3, unique=True)))
-    end = _settled(voters, [], sites, tolerance)[-1]
+    end = _steps_until_stable(voters, [], sites, tolerance)[-1]
     possible = any(
         _survives(choice, sites, tolerance)
         for size in range(max(len(voters), 2 * tolerance.machines + 1), len(sites) + 1)
@@ -90,7 +90,7 @@
 ) -> None:
     voters = data.draw(st.lists(st.sampled_from(sorted(sites)), min_size=1, unique=True))
     departing = data.draw(st.lists(st.sampled_from(voters), unique=True))
-    end = _settled(set(voters), departing, sites, tolerance)[-1]
+    end = _steps_until_stable(set(voters), departing, sites, tolerance)[-1]
     spares = set(sites) - set(voters)
     assert len(end) >= len(voters)
     assert len(end & set(departing)) == max(0, len(departing) - len(spares))
@@ -103,7 +103,7 @@
 
 def test_three_founders_of_one_zone_give_two_votes_to_others() -> None:
     sites = {f"d{n}": replicas.Site(zone) for n, zone in enumerate(["z1", "z1", "z1", "z2", "z3"])}
-    steps = _settled({"d0", "d1", "d2"}, [], sites, placement.Tolerance(1, 1))
+    steps = _steps_until_stable({"d0", "d1", "d2"}, [], sites, placement.Tolerance(1, 1))
     assert len(steps) == 3
     assert sorted(sites[d].zone for d in steps[-1]) == ["z1", "z2", "z3"]
 
@@ -143,9 +143,9 @@
 def test_a_long_fault_of_a_disk_does_not_make_its_state_an_odd_one() -> None:
     fault = "[Errno 28] No space left on device: " + "/long" * 100
     state = replicas.ReplicaState("d", False, True, _MEMBERS, fault)
-    told = replicas.decode(state.encode(), "10.0.0.1:1")
-    assert told.damaged and fault.startswith(told.damaged)
-    assert told.members == _MEMBERS
+    decoded = replicas.decode(state.encode(), "10.0.0.1:1")
+    assert decoded.damaged and fault.startswith(decoded.damaged)
+    assert decoded.members == _MEMBERS
 
 
 def test_a_state_without_the_later_fields_is_one_that_counts_and_stays() -> None:
--- a/tests/test_read_contention.py
+++ b/tests/test_read_contention.py
@@ -1,4 +1,4 @@
-"""Reads of the register that meet stores with unlike copies: they end, however many there are."""
+"""Reads of the register with differing copies finish soon, however many readers there are."""
 
 import asyncio
 import pathlib
@@ -17,7 +17,7 @@
 import dykeswitch.standin.shape as shapes
 
 PAGES: typing.Final = shapes.ServiceShape("pages", 3, 20, "/pages", "GET", 0.05)
-# As many proxies as on a small deployment, with disks as slow as there.
+# As many proxies, and disks as slow, as in a small deployment.
 SHAPE: typing.Final = shapes.Shape("eleven", 11, 3, ("z1", "z2"), (PAGES,))
 SYNC_S: typing.Final = 0.005
 
@@ -35,7 +35,7 @@
 
 
 async def _restart_with_unlike_copies(fleet: fleets.SimFleet) -> None:
-    """One store misses the last change; then all lose their power, and one of the others its disk."""
+    """One store misses the last change; then all lose power, and another one loses its disk."""
     _slow_down(fleet)
     lagging = fleet.cores[2]
     names = [name for name in fleet.world.nodes if name != lagging.store.name]
@@ -67,35 +67,37 @@
         def all_ready() -> bool:
             return all(e.node.daemon and e.node.daemon.ready() is None for e in fleet.edges)
 
-        took = await fleet.until(all_ready, 15.0, "every proxy is confirmed again")
-        print(f"every proxy confirmed after {took:.2f} s")
-        assert took < 1.0
+        duration_s = await fleet.until(all_ready, 15.0, "every proxy is confirmed again")
+        print(f"every proxy confirmed after {duration_s:.2f} s")
+        assert duration_s < 1.0
 
     loops.run(main())
 
 
 READERS: typing.Final = 11
-DISPUTED: typing.Final[register.Ballot] = (900, "gone")
+DISPUTED_BALLOT: typing.Final[register.Ballot] = (900, "gone")
 
 
-async def _ask(bench: benches.RegisterBench, store: int, ask: messages.Prepare | messages.Accept) -> None:
+async def _send(
+    bench: benches.RegisterBench, store: int, request: messages.Prepare | messages.Accept
+) -> None:
     call_client = frames.CallClient(bench.outside.net)
-    result = await call_client.call(bench.addresses[store], ask.KIND, messages.encode(ask), 1.0)
+    result = await call_client.call(bench.addresses[store], request.KIND, messages.encode(request), 1.0)
     assert isinstance(result, outcome.Success), result
 
 
-async def _unlike_copies(bench: benches.RegisterBench, promised_to_one_that_is_gone: bool) -> None:
-    """Store 0 is down, store 1 alone holds the newest value, and perhaps store 2 promised a later one."""
+async def _unlike_copies(bench: benches.RegisterBench, promised_to_lost_proposer: bool) -> None:
+    """Store 0 is down, only store 1 has the newest value, and store 2 may have promised a later ballot."""
     first = bench.proposer("first")
     assert isinstance(await first.change("k", benches.put(b"old", "1")), outcome.Success)
     await asyncio.sleep(0.2)
     disks = [node.daemon.voter.disk_id for node in bench.nodes]
     value = register.Value(2, b"new", (("1", 1), ("2", 2)))
     epoch = bench.members.epoch
-    await _ask(bench, 1, messages.Prepare("k", (500, "first"), epoch, disks[1]))
-    await _ask(bench, 1, messages.Accept("k", (500, "first"), value, epoch, disks[1]))
-    if promised_to_one_that_is_gone:
-        await _ask(bench, 2, messages.Prepare("k", DISPUTED, epoch, disks[2]))
+    await _send(bench, 1, messages.Prepare("k", (500, "first"), epoch, disks[1]))
+    await _send(bench, 1, messages.Accept("k", (500, "first"), value, epoch, disks[1]))
+    if promised_to_lost_proposer:
+        await _send(bench, 2, messages.Prepare("k", DISPUTED_BALLOT, epoch, disks[2]))
     bench.nodes[0].lose_power()
 
 
@@ -104,7 +106,7 @@
 def test_many_readers_of_unlike_copies_all_come_to_an_end(
     seed: int, promised: bool, tmp_path: pathlib.Path
 ) -> None:
-    """Three registries with eleven readers each, and two stores of three: both have to agree."""
+    """Three registries with eleven readers each; two of three stores are up, so both must agree."""
 
     async def main() -> None:
         bench = benches.RegisterBench(seed, tmp_path)
@@ -115,24 +117,24 @@
         await _unlike_copies(bench, promised)
         registries = [bench.proposer(f"r{n}") for n in range(3)]
         loop = asyncio.get_running_loop()
-        begun = loop.time()
-        found = await asyncio.gather(*(one.read("k") for one in registries for _ in range(READERS)))
-        assert {read.value.body if isinstance(read, outcome.Success) else b"" for read in found} == {b"new"}
-        assert loop.time() - begun < 1.0
+        started_at = loop.time()
+        reads = await asyncio.gather(*(one.read("k") for one in registries for _ in range(READERS)))
+        assert {read.value.body if isinstance(read, outcome.Success) else b"" for read in reads} == {b"new"}
+        assert loop.time() - started_at < 1.0
 
     loops.run(main())
 
 
 def test_a_read_completes_what_its_proposer_left_half_written(tmp_path: pathlib.Path) -> None:
-    """It sends that very accept once more: no ballot of its own, so it outvotes nobody."""
+    """The read sends the original accept again instead of a ballot of its own, and outvotes nobody."""
 
     async def main() -> None:
         bench = benches.RegisterBench(4, tmp_path)
         await bench.start()
-        await _unlike_copies(bench, promised_to_one_that_is_gone=False)
+        await _unlike_copies(bench, promised_to_lost_proposer=False)
         reader = bench.proposer("reader")
-        found = await reader.read("k")
-        assert isinstance(found, outcome.Success) and found.value.body == b"new"
+        result = await reader.read("k")
+        assert isinstance(result, outcome.Success) and result.value.body == b"new"
         key_states = [node.daemon.voter._key_states["k"] for node in bench.nodes[1:]]
         assert {key_state.ballot for key_state in key_states} == {(500, "first")}
         assert reader.repaired == 0
@@ -149,31 +151,31 @@
         accept = messages.Accept(
             "k", (3, "a"), register.Value(1, b"one"), bench.members.epoch, node.daemon.voter.disk_id
         )
-        await _ask(bench, 0, accept)
+        await _send(bench, 0, accept)
         syncs = node.disk.syncs
-        await _ask(bench, 0, accept)
+        await _send(bench, 0, accept)
         assert node.disk.syncs == syncs
 
     loops.run(main())
 
 
 class _Rounds:
-    """Reads that end when they are let, each telling the number of its round."""
+    """Reads that finish when released and return the number of their round."""
 
     def __init__(self) -> None:
-        self.begun = 0
+        self.started_count = 0
         self.gates: list[asyncio.Event] = []
 
     async def read(self, key: str) -> int:
-        self.begun += 1
-        number = self.begun
+        self.started_count += 1
+        number = self.started_count
         gate = asyncio.Event()
         self.gates.append(gate)
         await gate.wait()
         return number
 
 
-async def _settle() -> None:
+async def _run_pending_tasks() -> None:
     for _ in range(10):
         await asyncio.sleep(0)
 
@@ -183,13 +185,13 @@
         rounds = _Rounds()
         shared = shared_reads.SharedReads(rounds.read, overlap_s=60.0)
         first = asyncio.create_task(shared.read("k"))
-        await _settle()
+        await _run_pending_tasks()
         later = [asyncio.create_task(shared.read("k")) for _ in range(50)]
-        await _settle()
-        assert rounds.begun == 1
+        await _run_pending_tasks()
+        assert rounds.started_count == 1
         rounds.gates[0].set()
-        await _settle()
-        assert rounds.begun == 2
+        await _run_pending_tasks()
+        assert rounds.started_count == 2
         rounds.gates[1].set()
         assert await first == 1
         assert set(await asyncio.gather(*later)) == {2}
@@ -202,10 +204,10 @@
         rounds = _Rounds()
         shared = shared_reads.SharedReads(rounds.read, overlap_s=0.01)
         stuck = asyncio.create_task(shared.read("k"))
-        await _settle()
+        await _run_pending_tasks()
         later = asyncio.create_task(shared.read("k"))
         await asyncio.sleep(0.1)
-        assert rounds.begun == 2
+        assert rounds.started_count == 2
         rounds.gates[1].set()
         assert await later == 2
         assert not stuck.done()
@@ -220,9 +222,9 @@
         rounds = _Rounds()
         shared = shared_reads.SharedReads(rounds.read, overlap_s=60.0)
         impatient, patient = (asyncio.create_task(shared.read("k")) for _ in range(2))
-        await _settle()
+        await _run_pending_tasks()
         impatient.cancel()
-        await _settle()
+        await _run_pending_tasks()
         rounds.gates[0].set()
         assert await patient == 1
         assert impatient.cancelled()
@@ -231,7 +233,7 @@
 
 
 def test_our_own_changes_of_a_key_do_not_outvote_each_other(tmp_path: pathlib.Path) -> None:
-    """Eight orders at one registry: each is in the register after one try."""
+    """Eight concurrent changes by one registry are each accepted in the first attempt."""
 
     async def main() -> None:
         bench = benches.RegisterBench(6, tmp_path)
@@ -244,7 +246,7 @@
             *(proposer.change("k", benches.put(f"{n}".encode(), f"{n}")) for n in range(8))
         )
         assert sorted(r.value.version for r in results if isinstance(r, outcome.Success)) == list(range(1, 9))
-        # One ballot for each: nothing was tried twice.
+        # One ballot for each change: there were no retries.
         assert proposer._count == 8
 
     loops.run(main())
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""Repair of the member set: how soon a second loss is borne again, and that it is borne."""
+"""Repair of the member set: how soon it survives a second loss again, and that it does."""
 
 import asyncio
 import json
@@ -52,7 +52,7 @@
 
 
 def _voters(fleet: fleets.SimFleet) -> set[str]:
-    """The disks of the set in force, as those that hold it tell."""
+    """The disks of the member set in force, according to the stores that are up."""
     held = [c.store.daemon.voter.members for c in fleet.cores if c.store.up and c.store.daemon is not None]
     return set(max(held, key=lambda members: members.epoch).disks())
 
@@ -61,12 +61,12 @@
     return str(core.store.daemon.voter.disk_id)
 
 
-def _dark(core: machines.Core) -> None:
+def _lose_power(core: machines.Core) -> None:
     core.registry.lose_power()
     core.store.lose_power()
 
 
-async def _order(fleet: fleets.SimFleet, path: str) -> observations.LayoutPut:
+async def _put_layout(fleet: fleets.SimFleet, path: str) -> observations.LayoutPut:
     doc = fleet.shape.layout()
     doc["rules"].append({"path": path, "service": "pages"})
     up = next(c for c in fleet.cores if c.registry.up)
@@ -89,10 +89,10 @@
 ) -> None:
     if not guarded:
 
-        async def at_once(self: stores.Store) -> None:
+        async def retire_immediately(self: stores.Store) -> None:
             return None
 
-        monkeypatch.setattr(stores.Store, "_hand_over", at_once)
+        monkeypatch.setattr(stores.Store, "_hand_over", retire_immediately)
     found = loops.run(exposure.measure(exposure.replace_in_order, 3, 1, 1, 1, tmp_path))
     assert (found.exposed_s == 0.0) is guarded, found
 
@@ -103,39 +103,41 @@
         await asyncio.sleep(3.0)
         store = fleet.cores[0].store
         disk = _disk(fleet.cores[0])
-        begun = fleet.clock.now()
+        started_at = fleet.clock.now()
         assert await store.stop(exposure.GRACE_S)
-        assert fleet.clock.now() - begun <= settings.Settings().handover_wait_s + 0.2
+        assert fleet.clock.now() - started_at <= settings.Settings().handover_wait_s + 0.2
         store.restart()
-        await fleet.until(lambda: store.daemon is not None and store.daemon.voter.has_vote(), 5, "seated")
+        await fleet.until(
+            lambda: store.daemon is not None and store.daemon.voter.has_vote(), 5, "the store has its vote"
+        )
         assert _disk(fleet.cores[0]) == disk
 
     loops.run(main())
 
 
 def test_a_store_that_handed_its_vote_over_and_comes_back_can_take_one_again(tmp_path: pathlib.Path) -> None:
-    """Whether it was a restart or a removal could not be known: neither may cost a machine."""
+    """A stopping store can't know whether it is restarted or removed; neither may cost a machine."""
 
     async def main() -> None:
         fleet = await _fleet(tmp_path, cores=4)
         await asyncio.sleep(3.0)
-        first = await _order(fleet, "/one")
+        first = await _put_layout(fleet, "/one")
         by_disk = {_disk(core): core for core in fleet.cores}
         spare = next(core for disk, core in by_disk.items() if disk not in _voters(fleet))
-        leaver = next(core for core in fleet.cores if core is not spare)
-        old = _disk(leaver)
-        await leaver.store.stop(exposure.GRACE_S)
+        leaving_core = next(core for core in fleet.cores if core is not spare)
+        old = _disk(leaving_core)
+        await leaving_core.store.stop(exposure.GRACE_S)
         assert _disk(spare) in _voters(fleet) and old not in _voters(fleet)
-        leaver.store.restart()
-        await fleet.until(lambda: leaver.store.daemon is not None, 5, "it is back")
+        leaving_core.store.restart()
+        await fleet.until(lambda: leaving_core.store.daemon is not None, 5, "the store is up again")
         await asyncio.sleep(1.0)
-        state = leaver.store.daemon.voter.state()
-        # Emptied under a new id: it may vote again, but never found a second set.
+        state = leaving_core.store.daemon.voter.state()
+        # The disk was emptied and has a new id: it may vote again, but must not found a second set.
         assert state.disk != old and state.erased and not state.blank
-        _dark(spare)
-        await fleet.until(lambda: _disk(leaver) in _voters(fleet), 10, "it votes again")
-        await fleet.until(lambda: exposure.spare_votes(fleet) >= 1, 10, "one more loss is borne")
-        got = await fleet.get(leaver)
+        _lose_power(spare)
+        await fleet.until(lambda: _disk(leaving_core) in _voters(fleet), 10, "the store has a vote again")
+        await fleet.until(lambda: exposure.spare_votes(fleet) >= 1, 10, "one more loss is survivable")
+        got = await fleet.get(leaving_core)
         assert (got.status, got.version) == (200, first.version)
 
     loops.run(main())
@@ -145,7 +147,7 @@
 def test_replaced_disks_never_found_a_second_set(
     guarded: bool, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """All three founders were replaced and emptied; a registry that starts anew reaches only them."""
+    """All founders were replaced and emptied; a registry that restarts reaches only them."""
     if not guarded:
         monkeypatch.setattr(voters.Voter, "never_voted", voters.Voter.is_vacant)
 
@@ -173,7 +175,7 @@
 
 
 def test_the_loss_of_a_zone_that_must_be_borne_leaves_a_majority(tmp_path: pathlib.Path) -> None:
-    """All three founders stand in one zone; two others have one machine each."""
+    """All three founders are in one zone; two other zones have one machine each."""
 
     async def main() -> None:
         zones = ("z1", "z1", "z1", "z2", "z3")
@@ -182,8 +184,8 @@
         voting = sorted(core.zone for core in fleet.cores if _disk(core) in _voters(fleet))
         assert voting == ["z1", "z2", "z3"]
         for core in fleet.cores[:3]:
-            _dark(core)
-        assert (await _order(fleet, "/after")).status == 200
+            _lose_power(core)
+        assert (await _put_layout(fleet, "/after")).status == 200
 
     loops.run(main())
 
@@ -191,7 +193,7 @@
 def test_a_machine_that_does_not_count_gets_no_vote(tmp_path: pathlib.Path) -> None:
     async def main() -> None:
         fleet = fleets.SimFleet(_shape(5), 3, tmp_path, bounds={"cores_lost": 2}, known=3)
-        # As its settings would have it: the last of the five does not count.
+        # As if configured so: the last of the five machines is not eligible for the quorum.
         outsider = fleet.cores[4]
         build = outsider.store.build
 
@@ -218,24 +220,24 @@
 
 
 class _LossAtPoint:
-    """One machine goes dark for good when whoever drives a change passes a point of it."""
+    """One machine loses power for good when the registry that drives a change passes a fault point."""
 
     def __init__(self, fleet: fleets.SimFleet, point: int, lost: str) -> None:
         self._fleet = fleet
         self._point = point
         self._lost = lost
         self.voters: set[str] = set()
-        self.died: list[machines.Core] = []
+        self.lost_cores: list[machines.Core] = []
 
     def arm(self, core: machines.Core) -> None:
-        core.registry.fault_points.armed[self._point] = lambda: self._strike(core)
+        core.registry.fault_points.armed[self._point] = lambda: self._fire(core)
 
-    def _strike(self, driver: machines.Core) -> None:
-        if self.died:
+    def _fire(self, driver: machines.Core) -> None:
+        if self.lost_cores:
             return
         victim = driver if self._lost == "driver" else self._other(driver)
-        self.died.append(victim)
-        _dark(victim)
+        self.lost_cores.append(victim)
+        _lose_power(victim)
         if victim is driver:
             raise worlds.ProcessKilled("dark")
 
@@ -245,8 +247,8 @@
         return next(core for core in up if (_disk(core) in self.voters) is voting)
 
 
-async def _begin(fleet: fleets.SimFleet, event: str, loss: _LossAtPoint) -> None:
-    """Bring about a change of the member set."""
+async def _trigger_change(fleet: fleets.SimFleet, event: str, loss: _LossAtPoint) -> None:
+    """Triggers a change of the member set."""
     if event == "grow":
         for core in fleet.cores:
             core.registry.daemon.parts.reconfiguration.tolerance = placement.Tolerance(2)
@@ -256,7 +258,7 @@
     if event == "move":
         voter.store.daemon.voter.leaving = True
     else:
-        _dark(voter)
+        _lose_power(voter)
 
 
 @pytest.mark.parametrize("lost", ["driver", "other voter", "newcomer"])
@@ -265,10 +267,10 @@
 def test_a_loss_at_each_point_of_a_change_takes_nothing_back(
     event: str, point: int, lost: str, tmp_path: pathlib.Path
 ) -> None:
-    """While nothing else is lost, one machine may go dark for good at any point of a change.
+    """While nothing else is lost, one machine may be lost for good at any point of a change.
 
-    After the loss of a voter that is just being replaced ("swap") the second one comes back:
-    until the change is done it may stop the register, but it must not cost what was acknowledged.
+    After the loss of a voter that is being replaced ("swap") the second machine comes back: until the
+    change is done its loss may stop the register, but must not lose acknowledged changes.
     """
 
     async def main() -> None:
@@ -277,22 +279,22 @@
         loss = _LossAtPoint(fleet, point, lost)
         await fleet.start()
         await asyncio.sleep(3.0)
-        put = await _order(fleet, "/kept")
+        put = await _put_layout(fleet, "/kept")
         assert put.status == 200
         loss.voters |= _voters(fleet)
         for core in fleet.cores:
             loss.arm(core)
-        await _begin(fleet, event, loss)
-        await fleet.until(lambda: bool(loss.died), 10, "a loss at the point")
+        await _trigger_change(fleet, event, loss)
+        await fleet.until(lambda: bool(loss.lost_cores), 10, "the loss at the fault point")
         if event == "swap":
             await asyncio.sleep(1.0)
-            loss.died[0].store.restart()
-            loss.died[0].registry.restart()
+            loss.lost_cores[0].store.restart()
+            loss.lost_cores[0].registry.restart()
         await asyncio.sleep(6.0)
         got = await fleet.get(next(core for core in fleet.cores if core.registry.up))
         assert (got.status, got.version) == (200, put.version)
         assert "/kept" in got.body
-        assert (await _order(fleet, "/after")).status == 200
+        assert (await _put_layout(fleet, "/after")).status == 200
         assert exposure.spare_votes(fleet) >= 0
         members = [core.store.daemon.voter.members for core in fleet.cores if core.store.up]
         assert not max(members, key=lambda held: held.epoch).is_joint()
@@ -304,68 +306,70 @@
 def test_a_replaced_voter_goes_only_once_the_others_hold_the_new_set(
     guarded: bool, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It may be the only one left to tell of the set that took its vote away."""
+    """The replaced voter may be the only one that knows the set that removed its vote."""
     reconfiguration = reconfigurations.Reconfiguration
     if not guarded:
         retire = reconfiguration._retire_replaced
 
-        async def at_once(self: reconfigurations.Reconfiguration) -> None:
+        async def retire_immediately(self: reconfigurations.Reconfiguration) -> None:
             with monkeypatch.context() as patch:
                 patch.setattr(register, "has_majorities", lambda groups, yes: True)
                 await retire(self)
 
-        monkeypatch.setattr(reconfiguration, "_retire_replaced", at_once)
+        monkeypatch.setattr(reconfiguration, "_retire_replaced", retire_immediately)
 
     async def main() -> None:
         fleet = await _fleet(tmp_path, cores=4)
         await asyncio.sleep(3.0)
-        leaver = next(core for core in fleet.cores if _disk(core) in _voters(fleet))
-        gone = _disk(leaver)
+        leaving_core = next(core for core in fleet.cores if _disk(core) in _voters(fleet))
+        old_disk = _disk(leaving_core)
         install = reconfiguration._install
 
-        async def one_sided(self: reconfigurations.Reconfiguration, members: register.MemberSet) -> set[str]:
-            """The final set reaches the one that goes, and nobody else."""
-            if members.is_joint() or gone in members.disks():
+        async def install_on_removed_disk(
+            self: reconfigurations.Reconfiguration, members: register.MemberSet
+        ) -> set[str]:
+            """Installs the final set only on the disk that is removed."""
+            if members.is_joint() or old_disk in members.disks():
                 return await install(self, members)
-            state = self.states.get(gone)
+            state = self.states.get(old_disk)
             if state is not None and state.members.epoch < members.epoch:
-                await self._tell(state, messages.Install(members, gone))
-                self.states[gone] = state.with_members(members)
+                await self._tell(state, messages.Install(members, old_disk))
+                self.states[old_disk] = state.with_members(members)
             return self._holding(members.epoch)
 
-        monkeypatch.setattr(reconfiguration, "_install", one_sided)
-        leaver.store.daemon.voter.leaving = True
+        monkeypatch.setattr(reconfiguration, "_install", install_on_removed_disk)
+        leaving_core.store.daemon.voter.leaving = True
         await asyncio.sleep(2.0)
-        assert (_disk(leaver) == gone) is guarded
+        assert (_disk(leaving_core) == old_disk) is guarded
 
     loops.run(main())
 
 
-class _DarkError(OSError):
-    """The machine's power went in a step of the disk."""
+class _PowerLossError(OSError):
+    """The machine lost power during a disk operation."""
 
 
 @pytest.mark.parametrize("step", range(1, 10))
 def test_power_lost_at_any_step_of_emptying_a_replaced_disk(step: int, tmp_path: pathlib.Path) -> None:
-    """It starts again, without its vote, as the old replica or as an emptied one, never as blank."""
+    """It restarts without its vote, as the old replica or as an emptied one, but never as blank."""
 
     async def main() -> None:
         fleet = await _fleet(tmp_path, cores=4, seed=step)
         await asyncio.sleep(3.0)
-        leaver = next(core for core in fleet.cores if _disk(core) in _voters(fleet))
-        gone, node = _disk(leaver), leaver.store
+        leaving_core = next(core for core in fleet.cores if _disk(core) in _voters(fleet))
+        old_disk, node = _disk(leaving_core), leaving_core.store
         voter = node.daemon.voter
         erase, steps = voter._records.storage.erase, 0
 
-        def dark_within() -> None:
-            def counted(name: str, whole: typing.Callable[..., typing.Any]) -> typing.Any:
+        def erase_until_power_loss() -> None:
+            def counted(name: str, original: typing.Callable[..., typing.Any]) -> typing.Any:
                 def call(*paths: pathlib.Path) -> None:
                     nonlocal steps
                     steps += 1
                     if steps == step:
                         node.lose_power()
-                        raise _DarkError(name)
-                    whole(*paths)
+                        raise _PowerLossError(name)
+                    original(*paths)
 
                 return call
 
@@ -375,74 +379,76 @@
                 setattr(disk, name, counted(name, getattr(disk, name)))
             erase()
 
-        voter._records.storage.erase = dark_within
+        voter._records.storage.erase = erase_until_power_loss
         voter.leaving = True
-        await fleet.until(lambda: steps > 0, 10, "the disk is emptied")
+        await fleet.until(lambda: steps > 0, 10, "the disk being emptied")
         await asyncio.sleep(0.5)
         if not node.up:
             node.restart()
-            await fleet.until(lambda: node.daemon is not None and node.daemon.voter.disk_id, 5, "back")
+            await fleet.until(
+                lambda: node.daemon is not None and node.daemon.voter.disk_id, 5, "the store being up again"
+            )
         state = node.daemon.voter.state()
         assert not node.crash
         assert not state.blank
-        assert state.disk == gone or state.erased
+        assert state.disk == old_disk or state.erased
         await asyncio.sleep(3.0)
-        assert node.daemon.voter.state().erased and gone not in _voters(fleet)
+        assert node.daemon.voter.state().erased and old_disk not in _voters(fleet)
 
     loops.run(main())
 
 
 def test_no_write_goes_on_beside_an_erasure_or_comes_after_it(tmp_path: pathlib.Path) -> None:
-    """Writes have threads of their own; one left behind would be a vote of nobody's."""
+    """Writes run in threads of their own; one that outlives the replica would be a stray vote."""
 
     async def main() -> None:
         disk = real.RealDisk(tmp_path)
-        kept = records.Records(disk, ports.NoFaultPoints())
-        await kept.open()
-        await kept.put("first", b"1")
-        begun, go_on = threading.Event(), threading.Event()
-        put = kept.storage.put
+        replica_records = records.Records(disk, ports.NoFaultPoints())
+        await replica_records.open()
+        await replica_records.put("first", b"1")
+        started, released = threading.Event(), threading.Event()
+        put = replica_records.storage.put
 
         def slow(key: str, record: typing.Any) -> None:
-            begun.set()
-            assert go_on.wait(5)
+            started.set()
+            assert released.wait(5)
             put(key, record)
 
-        kept.storage.put = slow  # type: ignore[method-assign]
-        slow_write = asyncio.create_task(kept.put("second", b"2"))
-        assert await asyncio.to_thread(begun.wait, 5)
-        erasure = asyncio.create_task(kept.erase())
-        late = asyncio.create_task(kept.put("third", b"3"))
+        replica_records.storage.put = slow  # type: ignore[method-assign]
+        slow_write = asyncio.create_task(replica_records.put("second", b"2"))
+        assert await asyncio.to_thread(started.wait, 5)
+        erasure = asyncio.create_task(replica_records.erase())
+        late = asyncio.create_task(replica_records.put("third", b"3"))
         await asyncio.sleep(0)
-        go_on.set()
+        released.set()
         await asyncio.gather(slow_write, erasure, late, return_exceptions=True)
-        again = records.Records(disk, ports.NoFaultPoints())
-        found = await again.open()
+        reopened = records.Records(disk, ports.NoFaultPoints())
+        found = await reopened.open()
         assert "first" not in found and "second" not in found
-        assert again.voted_before
+        assert reopened.voted_before
 
     asyncio.run(main())
 
 
 def test_a_refused_call_does_not_wait_for_a_silent_store(tmp_path: pathlib.Path) -> None:
-    """Two of three refuse: without them there is no majority, whatever the third says."""
+    """If two of three disks refuse there is no majority, whatever the third one answers."""
 
     async def main() -> None:
         fleet = await _fleet(tmp_path)
         await asyncio.sleep(3.0)
-        _dark(fleet.cores[0])
+        _lose_power(fleet.cores[0])
         await asyncio.sleep(0.1)
         registry = fleet.cores[1].registry.daemon
         proposer: proposers.Proposer = registry.parts.proposer
-        # Lower than what was promised: refused by all that answer.
-        begun = fleet.clock.now()
+        # The ballot is lower than the promised ones: all disks that answer refuse it.
+        started_at = fleet.clock.now()
         answers = await proposer.quorum.call_all(
             proposer.members.groups,
             messages.Prepare("layout", (0, "x"), proposer.members.epoch, ""),
             messages.Promise,
         )
         assert not answers.replies and len(answers.refusals) >= 2
-        assert fleet.clock.now() - begun < registry.config.call_timeout_s / 2
+        assert fleet.clock.now() - started_at < registry.config.call_timeout_s / 2
 
     loops.run(main())
 
@@ -452,18 +458,18 @@
         fleet = await _fleet(tmp_path)
         await asyncio.sleep(2.0)
 
-        async def odd(body: frames.Body) -> frames.Result:
+        async def malformed_state(body: frames.Body) -> frames.Result:
             return outcome.Success({"disk": "x", "set": "nonsense"})
 
         voter = fleet.cores[2].store.daemon.voter
         core = fleet.cores[2]
-        server = frames.CallServer({**voter.kinds(), "state": odd}, lambda event, what: None)
+        server = frames.CallServer({**voter.kinds(), "state": malformed_state}, lambda event, what: None)
         host, _ = fleet.world.links.listeners[core.registry.daemon.config.store]
         fleet.world.links.listeners[core.registry.daemon.config.store] = (host, server.serve)
         fleet.world.links.reset_host(core.store.name)
         await asyncio.sleep(3.0)
         assert all(c.registry.up and not c.registry.crash for c in fleet.cores)
-        assert (await _order(fleet, "/odd")).status == 200
+        assert (await _put_layout(fleet, "/odd")).status == 200
 
     loops.run(main())
 
@@ -482,22 +488,22 @@
         voter = next(c for c in fleet.cores[1:] if _disk(c) in _voters(fleet))
         disk = _disk(voter)
         spare = next(c for c in fleet.cores if _disk(c) not in _voters(fleet))
-        _dark(spare)
+        _lose_power(spare)
         voter.store.lose_power()
         await asyncio.sleep(3.0)
-        await _order(fleet, "/later")
-        told = await fleet.query("who votes", fleet.cores[0])
-        assert told is not None
-        row = next(dict(zip(told["columns"], r)) for r in told["rows"] if r[0] == disk)
+        await _put_layout(fleet, "/later")
+        votes_page = await fleet.query("who votes", fleet.cores[0])
+        assert votes_page is not None
+        row = next(dict(zip(votes_page["columns"], r)) for r in votes_page["rows"] if r[0] == disk)
         assert row["state"].startswith("silent for ")
-        assert told["summary"]["machines that may be lost now"] == 0
+        assert votes_page["summary"]["machines that may be lost now"] == 0
         voter.store.restart()
         await asyncio.sleep(2.0)
-        told = await fleet.query("who votes", fleet.cores[0])
-        assert told is not None
-        row = next(dict(zip(told["columns"], r)) for r in told["rows"] if r[0] == disk)
+        votes_page = await fleet.query("who votes", fleet.cores[0])
+        assert votes_page is not None
+        row = next(dict(zip(votes_page["columns"], r)) for r in votes_page["rows"] if r[0] == disk)
         assert row["state"] == "answers"
-        assert told["summary"]["machines that may be lost now"] == 1
+        assert votes_page["summary"]["machines that may be lost now"] == 1
 
     loops.run(main())
 
--- a/tests/test_stalled_disk.py
+++ b/tests/test_stalled_disk.py
@@ -1,4 +1,4 @@
-"""A store whose disk stalls or is full: nothing waits for it but its own vote."""
+"""A store whose disk stalls or is full: nothing but its own vote waits for the disk."""
 
 import asyncio
 import contextlib
@@ -28,12 +28,12 @@
 )
 OLD: typing.Final = register.Value(1, b"old")
 NEW: typing.Final = register.Value(2, b"new")
-# What a call of the simulated or real voter may take that does not wait for its disk.
-PROMPT_S: typing.Final = 0.2
+# Maximum duration of a call to the simulated or real voter that does not wait for its disk.
+MAX_PROMPT_S: typing.Final = 0.2
 
 
-class Lone:
-    """A voter that is a member set of its own, called without a network."""
+class SingleVoter:
+    """A voter that is the only member of its set, called without a network."""
 
     def __init__(self, disk: ports.Disk) -> None:
         self.disk = disk
@@ -45,13 +45,13 @@
         members = register.MemberSet(1, (group,))
         await self._call(messages.Install(members, self.voter.disk_id))
 
-    async def _call(self, ask: messages.Request) -> frames.Body:
-        result = await self.voter.kinds()[ask.KIND](messages.encode(ask))
+    async def _call(self, request: messages.Request) -> frames.Body:
+        result = await self.voter.kinds()[request.KIND](messages.encode(request))
         assert isinstance(result, outcome.Success), result
         return result.value
 
-    async def refusal(self, ask: messages.Request) -> str:
-        result = await self.voter.kinds()[ask.KIND](messages.encode(ask))
+    async def refusal(self, request: messages.Request) -> str:
+        result = await self.voter.kinds()[request.KIND](messages.encode(request))
         assert isinstance(result, outcome.Failure), result
         return result.code.tag
 
@@ -65,12 +65,12 @@
         await self._call(messages.Accept(key, (count, "p"), value, 1, self.voter.disk_id))
 
     async def read(self, key: str = "k") -> messages.ReadReply:
-        ask = messages.Read(key, 1, self.voter.disk_id)
-        return messages.decode(messages.ReadReply, await self._call(ask))
+        request = messages.Read(key, 1, self.voter.disk_id)
+        return messages.decode(messages.ReadReply, await self._call(request))
 
     async def keys(self) -> tuple[str, ...]:
-        ask = messages.Keys(1, self.voter.disk_id)
-        return messages.decode(messages.KeysReply, await self._call(ask)).keys
+        request = messages.Keys(1, self.voter.disk_id)
+        return messages.decode(messages.KeysReply, await self._call(request)).keys
 
     async def state(self) -> frames.Body:
         result = await self.voter.kinds()["state"]({})
@@ -83,65 +83,65 @@
     return disks.SimDisk(root, random.Random(1))
 
 
-async def _begun(task: "asyncio.Task[None]") -> None:
+async def _assert_running(task: "asyncio.Task[None]") -> None:
     await asyncio.sleep(0.01)
     assert not task.done()
 
 
 @pytest.mark.parametrize("after", [False, True])
 def test_reads_and_state_are_answered_while_a_write_is_stalled(after: bool, tmp_path: pathlib.Path) -> None:
-    """Reads tell what is durable: never the value under way, and the old one to the last."""
+    """Reads return the durable value, never the one being written, until the write is durable."""
 
     async def main() -> None:
         disk = _sim_disk(tmp_path / "disk")
-        lone = Lone(disk)
-        await lone.start()
-        await lone.accept(1, OLD)
-        await lone.accept(1, OLD, "other")
+        member = SingleVoter(disk)
+        await member.start()
+        await member.accept(1, OLD)
+        await member.accept(1, OLD, "other")
         disk.stall(after)
-        write = asyncio.create_task(lone.accept(2, NEW))
-        await _begun(write)
-        begun = asyncio.get_running_loop().time()
-        found = await lone.read()
-        assert (found.ballot, found.value) == ((1, "p"), OLD)
-        assert (await lone.read("other")).value == OLD
-        assert await lone.keys() == ("k", "other")
-        assert (await lone.state())["seated"]
-        assert asyncio.get_running_loop().time() == begun
+        write = asyncio.create_task(member.accept(2, NEW))
+        await _assert_running(write)
+        started_at = asyncio.get_running_loop().time()
+        reply = await member.read()
+        assert (reply.ballot, reply.value) == ((1, "p"), OLD)
+        assert (await member.read("other")).value == OLD
+        assert await member.keys() == ("k", "other")
+        assert (await member.state())["seated"]
+        assert asyncio.get_running_loop().time() == started_at
         disk.flow()
         await write
-        assert (await lone.read()).value == NEW
+        assert (await member.read()).value == NEW
 
     loops.run(main())
 
 
 def test_votes_are_refused_rather_than_queued_behind_a_stalled_write(tmp_path: pathlib.Path) -> None:
-    """What nobody waits for any more is not written once the disk serves again."""
+    """Votes that nobody waits for any more are not written once the disk works again."""
 
     async def main() -> None:
         disk = _sim_disk(tmp_path / "disk")
-        lone = Lone(disk)
-        await lone.start()
+        member = SingleVoter(disk)
+        await member.start()
         disk.stall()
-        write = asyncio.create_task(lone.promise(1))
-        await _begun(typing.cast("asyncio.Task[None]", write))
+        write = asyncio.create_task(member.promise(1))
+        await _assert_running(typing.cast("asyncio.Task[None]", write))
         loop = asyncio.get_running_loop()
-        begun = loop.time()
-        assert await lone.refusal(lone.prepare(2)) == "disk_fault"
-        assert loop.time() - begun <= voters.STALL_S + PROMPT_S
-        assert (await lone.state())["damaged"] == "a write is stalled"
-        begun = loop.time()
+        started_at = loop.time()
+        assert await member.refusal(member.prepare(2)) == "disk_fault"
+        assert loop.time() - started_at <= voters.STALL_S + MAX_PROMPT_S
+        assert (await member.state())["damaged"] == "a write is stalled"
+        started_at = loop.time()
         for count in range(3, 200):
-            assert await lone.refusal(lone.prepare(count, f"k{count % 5}")) == "disk_fault"
-        assert loop.time() == begun
+            assert await member.refusal(member.prepare(count, f"k{count % 5}")) == "disk_fault"
+        assert loop.time() == started_at
         assert disk.waiting == 1
         syncs = disk.syncs
         disk.flow()
         await write
-        # One write of three files and two folders, with the folder of the key: no backlog.
+        # One write of three files and two directories, plus the key's directory: there is no backlog.
         assert disk.syncs - syncs <= 6
-        assert (await lone.state())["damaged"] == ""
-        assert (await lone.promise(2)).ballot == register.ZERO_BALLOT
+        assert (await member.state())["damaged"] == ""
+        assert (await member.promise(2)).ballot == register.ZERO_BALLOT
 
     loops.run(main())
 
@@ -153,21 +153,21 @@
 ) -> None:
     async def main() -> None:
         disk = _sim_disk(tmp_path / "disk")
-        lone = Lone(disk)
-        await lone.start()
+        member = SingleVoter(disk)
+        await member.start()
         disk.stall(after)
-        vote = asyncio.create_task(lone.promise(5))
+        vote = asyncio.create_task(member.promise(5))
         await asyncio.sleep(0.3)
         assert not vote.done()
         disk.flow()
         await vote
         rng = random.Random(seed)
         disk.lose_power(rng.randrange)
-        woken = Lone(disk.wake())
-        await woken.voter.open()
-        assert woken.voter.disk_id == lone.voter.disk_id
-        late = messages.Accept("k", (4, "p"), NEW, 1, woken.voter.disk_id)
-        assert await woken.refusal(late) == "outvoted"
+        restarted = SingleVoter(disk.wake())
+        await restarted.voter.open()
+        assert restarted.voter.disk_id == member.voter.disk_id
+        late = messages.Accept("k", (4, "p"), NEW, 1, restarted.voter.disk_id)
+        assert await restarted.refusal(late) == "outvoted"
 
     loops.run(main())
 
@@ -175,16 +175,16 @@
 def test_a_full_disk_answers_reads_and_votes_again_when_there_is_room(tmp_path: pathlib.Path) -> None:
     async def main() -> None:
         disk = _sim_disk(tmp_path / "disk")
-        lone = Lone(disk)
-        await lone.start()
-        await lone.accept(1, OLD)
+        member = SingleVoter(disk)
+        await member.start()
+        await member.accept(1, OLD)
         disk.spoilt = {"sync_file": "no space left on device"}
-        assert await lone.refusal(lone.prepare(2)) == "disk_fault"
-        assert (await lone.state())["damaged"] == "no space left on device"
-        assert (await lone.read()).value == OLD
+        assert await member.refusal(member.prepare(2)) == "disk_fault"
+        assert (await member.state())["damaged"] == "no space left on device"
+        assert (await member.read()).value == OLD
         disk.spoilt = {}
-        assert (await lone.promise(2)).value == OLD
-        assert (await lone.state())["damaged"] == ""
+        assert (await member.promise(2)).value == OLD
+        assert (await member.state())["damaged"] == ""
 
     loops.run(main())
 
@@ -193,20 +193,20 @@
 def test_a_disk_whose_content_is_not_known_answers_nothing(step: str, tmp_path: pathlib.Path) -> None:
     async def main() -> None:
         disk = _sim_disk(tmp_path / "disk")
-        lone = Lone(disk)
-        await lone.start()
-        await lone.accept(1, OLD)
+        member = SingleVoter(disk)
+        await member.start()
+        await member.accept(1, OLD)
         disk.spoilt = {step: "input/output error"}
-        assert await lone.refusal(lone.prepare(2)) == "disk_fault"
+        assert await member.refusal(member.prepare(2)) == "disk_fault"
         disk.spoilt = {}
-        assert await lone.refusal(lone.prepare(2)) == "disk_fault"
-        assert await lone.refusal(messages.Read("k", 1, lone.voter.disk_id)) == "disk_fault"
+        assert await member.refusal(member.prepare(2)) == "disk_fault"
+        assert await member.refusal(messages.Read("k", 1, member.voter.disk_id)) == "disk_fault"
 
     loops.run(main())
 
 
 def test_changes_do_not_wait_for_the_store_that_stalls(tmp_path: pathlib.Path) -> None:
-    """Layouts, queries and reads at every registry, also at the one beside the stalled store."""
+    """Layouts and reads at every registry, also at the one beside the stalled store."""
 
     async def main() -> None:
         fleet = fleets.SimFleet(SMALL, 3, tmp_path)
@@ -217,16 +217,16 @@
             disk = core.store.disk
             assert disk is not None
             disk.stall()
-            took = []
+            durations_s = []
             for turn in range(20):
-                begun = loop.time()
+                started_at = loop.time()
                 layout = SMALL.layout()
                 layout["rules"].append({"path": f"/more{turn}", "service": "pages"})
                 await fleet.apply(layout)
                 assert (await fleet.get(fleet.cores[turn % 3])).status == 200
-                took.append(loop.time() - begun)
+                durations_s.append(loop.time() - started_at)
                 assert disk.waiting <= 8
-            slowest[core.store.name] = max(took)
+            slowest[core.store.name] = max(durations_s)
             disk.flow()
             await fleet.until(lambda: len(_ballots(fleet)) == 1, 20, "all copies the same")
         assert max(slowest.values()) < 0.8, slowest
@@ -271,86 +271,86 @@
     loops.run(main())
 
 
-class _StalledFiles(real.RealDisk):
-    """A real disk whose syncs of files block their thread until they are let go."""
+class _StalledDisk(real.RealDisk):
+    """A real disk whose file syncs block their thread until they are released."""
 
     def __init__(self, root: pathlib.Path) -> None:
         super().__init__(root)
-        self.flows = threading.Event()
-        self.flows.set()
+        self.released = threading.Event()
+        self.released.set()
 
     def sync_file(self, path: pathlib.Path) -> None:
-        self.flows.wait()
+        self.released.wait()
         super().sync_file(path)
 
 
 def test_a_real_disk_that_stalls_holds_neither_reads_nor_the_end_of_the_process(
     tmp_path: pathlib.Path,
 ) -> None:
-    """Its thread is no thread that the loop or the interpreter waits for."""
-    disk = _StalledFiles(tmp_path)
+    """Neither the event loop nor the interpreter waits for the thread of the disk."""
+    disk = _StalledDisk(tmp_path)
 
     async def main() -> None:
-        lone = Lone(disk)
-        await lone.start()
-        await lone.accept(1, OLD)
-        disk.flows.clear()
-        write = asyncio.create_task(lone.accept(2, NEW))
-        await _begun(write)
-        begun = time.monotonic()
-        assert (await lone.read()).value == OLD
-        assert (await lone.state())["seated"]
-        assert time.monotonic() - begun < PROMPT_S
+        member = SingleVoter(disk)
+        await member.start()
+        await member.accept(1, OLD)
+        disk.released.clear()
+        write = asyncio.create_task(member.accept(2, NEW))
+        await _assert_running(write)
+        started_at = time.monotonic()
+        assert (await member.read()).value == OLD
+        assert (await member.state())["seated"]
+        assert time.monotonic() - started_at < MAX_PROMPT_S
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(0.05):
                 await asyncio.shield(write)
         assert not write.done()
 
-    begun = time.monotonic()
+    started_at = time.monotonic()
     asyncio.run(main())
-    assert time.monotonic() - begun < 5.0
+    assert time.monotonic() - started_at < 5.0
     stuck = [thread for thread in threading.enumerate() if thread.name == "disk"]
     assert stuck and all(thread.daemon for thread in stuck)
-    disk.flows.set()
+    disk.released.set()
 
 
 def test_a_write_that_was_cut_off_leaves_nothing_to_answer_from(tmp_path: pathlib.Path) -> None:
-    """The disk may still be at it, so neither the older record nor the newer one is sure."""
+    """The disk may still be executing it, so neither the older nor the newer record is certain."""
 
     async def main() -> None:
         disk = _sim_disk(tmp_path / "disk")
-        lone = Lone(disk)
-        await lone.start()
+        member = SingleVoter(disk)
+        await member.start()
         disk.stall()
-        write = asyncio.create_task(lone.accept(2, NEW))
-        await _begun(write)
+        write = asyncio.create_task(member.accept(2, NEW))
+        await _assert_running(write)
         write.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await write
         disk.flow()
-        assert await lone.refusal(lone.prepare(3)) == "disk_fault"
-        assert (await lone.state())["damaged"] == "a write was cut off"
+        assert await member.refusal(member.prepare(3)) == "disk_fault"
+        assert (await member.state())["damaged"] == "a write was cut off"
 
     loops.run(main())
 
 
 def test_threads_of_a_disk_work_side_by_side_and_tell_of_failures() -> None:
-    """One stalled work holds no other; more than there are threads wait their turn."""
+    """A stalled job delays no other; jobs beyond the number of threads wait in a queue."""
     pool = threads.DaemonThreads()
-    flows = threading.Event()
+    released = threading.Event()
 
     def fail() -> None:
         raise OSError("input/output error")
 
     async def main() -> None:
-        stalled = asyncio.create_task(pool.run(flows.wait))
+        stalled = asyncio.create_task(pool.run(released.wait))
         await asyncio.sleep(0.01)
-        found = await asyncio.gather(*(pool.run(lambda n=n: n * 2) for n in range(20)))  # type: ignore[misc]
-        assert found == [n * 2 for n in range(20)]
+        results = await asyncio.gather(*(pool.run(lambda n=n: n * 2) for n in range(20)))  # type: ignore[misc]
+        assert results == [n * 2 for n in range(20)]
         with pytest.raises(OSError, match="input/output error"):
             await pool.run(fail)
         assert not stalled.done()
-        flows.set()
+        released.set()
         assert await stalled
 
     before = threading.active_count()
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,7 +1,7 @@
-"""The storage under every outcome of a loss of power, and after a process that was killed.
+"""The storage after every outcome of a power loss, and after its process was killed.
 
-A loss of power keeps or loses each unsynced name by itself, and each unsynced write survives,
-goes missing or is torn. For one write of one key all outcomes are few enough to be tried.
+A power loss keeps or loses each unsynced name independently, and each unsynced write survives, goes
+missing or is torn. For one write of one key there are few enough outcomes to try all of them.
 """
 
 import pathlib
@@ -18,93 +18,93 @@
 import dykeswitch.simulator.world as worlds
 
 POINTS: typing.Final = range(storage.POINT_BEFORE, storage.POINT_OLD_DROPPED + 1)
-OUTCOMES_MOST: typing.Final = 20_000
+MAX_OUTCOMES: typing.Final = 20_000
 KEY: typing.Final = "k"
 
 
 class Stopped(BaseException):
-    """The process ended at a numbered point."""
+    """The process ended at a fault point."""
 
 
 class Chooser:
-    """Answers from a given list of choices, then with 0; remembers how many options each had."""
+    """Makes the given choices, then always 0; records how many options each choice had."""
 
     def __init__(self, given: tuple[int, ...]) -> None:
         self._given = given
-        self.made: list[tuple[int, int]] = []
+        self.choices_made: list[tuple[int, int]] = []
 
     def __call__(self, options: int) -> int:
-        at = len(self.made)
-        choice = self._given[at] if at < len(self._given) else 0
-        self.made.append((choice, options))
+        position = len(self.choices_made)
+        choice = self._given[position] if position < len(self._given) else 0
+        self.choices_made.append((choice, options))
         return choice
 
-    def following(self) -> tuple[int, ...] | None:
-        """The next list of choices in order, or nothing when all were made."""
-        made = list(self.made)
-        while made:
-            choice, options = made.pop()
+    def next_choices(self) -> tuple[int, ...] | None:
+        """The next list of choices in order, or None after the last one."""
+        choices_made = list(self.choices_made)
+        while choices_made:
+            choice, options = choices_made.pop()
             if choice + 1 < options:
-                return (*(earlier for earlier, _ in made), choice + 1)
+                return (*(earlier for earlier, _ in choices_made), choice + 1)
         return None
 
 
 class Case:
-    """One disk of its own, with a storage as a process has it."""
+    """One simulated disk and the storage of a process that uses it."""
 
-    def __init__(self, root: pathlib.Path, lazy: tuple[str, str] | None = None) -> None:
+    def __init__(self, root: pathlib.Path, skipped_sync: tuple[str, str] | None = None) -> None:
         if root.exists():
             shutil.rmtree(root)
         root.mkdir()
         self.disk = disks.SimDisk(root, random.Random(1))
         self.fault_points = worlds.SimFaultPoints()
-        self._lazy = lazy
-        self.left_out = 0
+        self._skipped_sync = skipped_sync
+        self.skipped_count = 0
 
     def open(self) -> tuple[storage.Storage, dict[str, typing.Any]]:
-        """The storage of a process that starts, and what it read."""
-        self._leave_out_a_sync()
-        opened = storage.Storage(self.disk, self.fault_points)
-        return opened, opened.open()
+        """The storage of a process that starts, and the records that it read."""
+        self._skip_sync()
+        opened_storage = storage.Storage(self.disk, self.fault_points)
+        return opened_storage, opened_storage.open()
 
-    def _leave_out_a_sync(self) -> None:
-        if self._lazy is None:
+    def _skip_sync(self) -> None:
+        if self._skipped_sync is None:
             return
-        kind, name = self._lazy
-        whole = getattr(self.disk, kind)
+        kind, name = self._skipped_sync
+        original = getattr(self.disk, kind)
 
         def sync(path: pathlib.Path) -> None:
             if path.name == name or (name == "tmp" and path.name.startswith("tmp")):
-                self.left_out += 1
+                self.skipped_count += 1
                 return
-            whole(path)
+            original(path)
 
         setattr(self.disk, kind, sync)
 
     def restart(self) -> None:
         self.disk = self.disk.wake()
 
-    def put_and_stop_at(self, opened: storage.Storage, point: int, record: object) -> None:
-        """A write whose process ends at a numbered point."""
+    def put_and_stop_at(self, opened_storage: storage.Storage, point: int, record: object) -> None:
+        """Starts a write and ends the process at a fault point."""
 
         def stop() -> None:
             raise Stopped
 
         self.fault_points.armed[point] = stop
         with pytest.raises(Stopped):
-            opened.put(KEY, record)
+            opened_storage.put(KEY, record)
 
 
 def outcomes(root: pathlib.Path, play: typing.Callable[[disks.Choose], None]) -> int:
-    """Play a case once for each outcome of its loss of power; how many there were."""
+    """Plays a case once for each outcome of its power loss; returns the number of outcomes."""
     given: tuple[int, ...] | None = ()
     count = 0
     while given is not None:
         chooser = Chooser(given)
         play(chooser)
-        given = chooser.following()
+        given = chooser.next_choices()
         count += 1
-        assert count < OUTCOMES_MOST
+        assert count < MAX_OUTCOMES
     return count
 
 
@@ -119,14 +119,14 @@
 def test_every_outcome_of_a_power_loss_within_a_write(
     before: int, point: int, tmp_path: pathlib.Path
 ) -> None:
-    """What was acknowledged is there; the write under way is there as a whole or not at all."""
+    """An acknowledged write survives; the write in progress is there completely or not at all."""
 
     def play(choose: disks.Choose) -> None:
         case = Case(tmp_path / "disk")
-        opened, _ = case.open()
+        opened_storage, _ = case.open()
         for number in range(1, before + 1):
-            opened.put(KEY, number)
-        case.put_and_stop_at(opened, point, before + 1)
+            opened_storage.put(KEY, number)
+        case.put_and_stop_at(opened_storage, point, before + 1)
         case.disk.lose_power(choose)
         acknowledged = before or None
         found = _read_after(case)
@@ -145,14 +145,14 @@
 def test_what_a_restarted_process_read_survives_a_power_loss(
     before: int, point: int, tmp_path: pathlib.Path
 ) -> None:
-    """A process was killed within a write; what the next one answers from must be durable."""
+    """After a process was killed during a write, whatever the next one reads must be durable."""
 
     def play(choose: disks.Choose) -> None:
         case = Case(tmp_path / "disk")
-        opened, _ = case.open()
+        opened_storage, _ = case.open()
         for number in range(1, before + 1):
-            opened.put(KEY, number)
-        case.put_and_stop_at(opened, point, before + 1)
+            opened_storage.put(KEY, number)
+        case.put_and_stop_at(opened_storage, point, before + 1)
         answered_from = _read_after(case)
         case.disk.lose_power(choose)
         assert _read_after(case) == answered_from
@@ -162,15 +162,15 @@
 
 @pytest.mark.parametrize("point", POINTS)
 def test_a_write_after_a_kill_survives_a_power_loss(point: int, tmp_path: pathlib.Path) -> None:
-    """Folders that a killed process made, and did not sync, are there to stay before a vote is given."""
+    """Directories that a killed process created but did not sync are durable before the next vote."""
 
     def play(choose: disks.Choose) -> None:
         case = Case(tmp_path / "disk")
-        opened, _ = case.open()
-        case.put_and_stop_at(opened, point, "first")
+        opened_storage, _ = case.open()
+        case.put_and_stop_at(opened_storage, point, "first")
         case.restart()
-        opened, _ = case.open()
-        opened.put(KEY, "second")
+        opened_storage, _ = case.open()
+        opened_storage.put(KEY, "second")
         case.disk.lose_power(choose)
         assert _read_after(case) == "second"
 
@@ -181,7 +181,7 @@
     "path", ["register", f"register/{KEY.encode().hex()}"], ids=["the base", "the folder of a key"]
 )
 def test_a_folder_made_by_a_killed_process_is_synced_by_the_next(path: str, tmp_path: pathlib.Path) -> None:
-    """The process ended between making the folder and syncing its parent."""
+    """The process ended between creating the directory and syncing its parent."""
 
     def play(choose: disks.Choose) -> None:
         case = Case(tmp_path / "disk")
@@ -189,8 +189,8 @@
             case.open()
         (case.disk.root / path).mkdir()
         case.restart()
-        opened, _ = case.open()
-        opened.put(KEY, "vote")
+        opened_storage, _ = case.open()
+        opened_storage.put(KEY, "vote")
         case.disk.lose_power(choose)
         assert _read_after(case) == "vote"
 
@@ -209,14 +209,14 @@
     ],
 )
 def test_without_any_one_sync_some_outcome_loses_a_vote(kind: str, name: str, tmp_path: pathlib.Path) -> None:
-    """Each sync is needed: with it left out, an acknowledged write is gone in some outcome."""
+    """Each sync is needed: without it, some outcome loses an acknowledged write."""
     lost = []
 
     def play(choose: disks.Choose) -> None:
         case = Case(tmp_path / "disk", (kind, name))
-        opened, _ = case.open()
-        opened.put(KEY, "vote")
-        assert case.left_out
+        opened_storage, _ = case.open()
+        opened_storage.put(KEY, "vote")
+        assert case.skipped_count
         case.disk.lose_power(choose)
         try:
             lost.append(_read_after(case) != "vote")
@@ -231,13 +231,13 @@
 def test_without_any_one_sync_at_the_start_some_outcome_loses_a_vote(
     name: str, tmp_path: pathlib.Path
 ) -> None:
-    """Each folder that a killed process did not sync must be synced by the next one."""
+    """Each directory that a killed process did not sync must be synced by the next one."""
     lost = []
 
     def play(choose: disks.Choose) -> None:
         case = Case(tmp_path / "disk", ("sync_folder", name))
-        opened, _ = case.open()
-        opened.put(KEY, "vote")
+        opened_storage, _ = case.open()
+        opened_storage.put(KEY, "vote")
         case.restart()
         _, records = case.open()
         assert records == {KEY: "vote"}
@@ -249,7 +249,7 @@
 
 
 def test_a_process_end_is_no_power_loss(tmp_path: pathlib.Path) -> None:
-    """What a killed process wrote and did not sync is there for the next, and may still be lost."""
+    """Unsynced writes of a killed process are visible to the next one, and may still be lost."""
     case = Case(tmp_path / "disk")
     (case.disk.root / "file").write_bytes(b"x")
     case.restart()
@@ -259,7 +259,7 @@
 
 
 def test_removed_and_renamed_names_are_kept_or_lost_one_by_one(tmp_path: pathlib.Path) -> None:
-    """All eight outcomes of one removal and one rename, which is a removal and a new name."""
+    """There are eight outcomes of a removal and a rename, as a rename is a removal and a new name."""
     seen: set[frozenset[str]] = set()
 
     def play(choose: disks.Choose) -> None:
@@ -278,32 +278,32 @@
 
 
 def test_a_write_that_failed_before_its_rename_is_known_not_to_stand(tmp_path: pathlib.Path) -> None:
-    """A full disk leaves the older record in force, and the next write needs no new start."""
+    """On a full disk the older record stays in force, and the next write needs no restart."""
     case = Case(tmp_path / "disk")
-    opened, _ = case.open()
-    opened.put(KEY, 1)
+    opened_storage, _ = case.open()
+    opened_storage.put(KEY, 1)
     for step in ("sync_file", "sync_folder"):
         case.disk.spoilt = {step: "no space left on device"}
         with pytest.raises(storage.NotWrittenError):
-            opened.put(KEY, 2)
+            opened_storage.put(KEY, 2)
         case.disk.spoilt = {}
-        opened.put(KEY, 3)
+        opened_storage.put(KEY, 3)
         case.disk.lose_power(lambda options: 0)
         assert _read_after(case) == 3
-        opened, _ = case.open()
+        opened_storage, _ = case.open()
 
 
 def test_a_folder_whose_sync_failed_is_synced_by_the_next_write(tmp_path: pathlib.Path) -> None:
-    """The folder is there, but nothing says that its name would last."""
+    """The directory exists after the failure, but its name may not be durable."""
 
     def play(choose: disks.Choose) -> None:
         case = Case(tmp_path / "disk")
-        opened, _ = case.open()
+        opened_storage, _ = case.open()
         case.disk.spoilt = {"sync_folder": "input/output error"}
         with pytest.raises(storage.NotWrittenError):
-            opened.put(KEY, "vote")
+            opened_storage.put(KEY, "vote")
         case.disk.spoilt = {}
-        opened.put(KEY, "vote")
+        opened_storage.put(KEY, "vote")
         case.disk.lose_power(choose)
         assert _read_after(case) == "vote"
 
@@ -312,11 +312,11 @@
 
 def test_a_write_that_failed_at_its_rename_is_not_known_to_stand(tmp_path: pathlib.Path) -> None:
     case = Case(tmp_path / "disk")
-    opened, _ = case.open()
-    opened.put(KEY, 1)
+    opened_storage, _ = case.open()
+    opened_storage.put(KEY, 1)
     case.disk.spoilt = {"rename": "input/output error"}
     with pytest.raises(OSError) as caught:
-        opened.put(KEY, 2)
+        opened_storage.put(KEY, 2)
     assert not isinstance(caught.value, storage.NotWrittenError)
 
 
@@ -329,12 +329,12 @@
 
 
 def test_a_real_disk_keeps_the_same_order_of_syncs(tmp_path: pathlib.Path) -> None:
-    """The adapter for real disks takes the same steps, so what holds above holds for them."""
+    """The adapter for real disks makes the same calls, so that the results above apply to it."""
     disk: ports.Disk = real.RealDisk(tmp_path)
-    opened = storage.Storage(disk, ports.NoFaultPoints())
-    assert opened.open() == {}
+    opened_storage = storage.Storage(disk, ports.NoFaultPoints())
+    assert opened_storage.open() == {}
     for number in range(5):
-        opened.put(KEY, number)
-    again = storage.Storage(disk, ports.NoFaultPoints())
-    assert again.open() == {KEY: 4}
+        opened_storage.put(KEY, number)
+    reopened = storage.Storage(disk, ports.NoFaultPoints())
+    assert reopened.open() == {KEY: 4}
     assert len(list((tmp_path / "register" / KEY.encode().hex()).iterdir())) == 1
