--- a/packages/register/src/dykeswitch/register/proposer.py
+++ b/packages/register/src/dykeswitch/register/proposer.py
@@ -28,8 +28,9 @@
 # timeouts that a change waits for this registry's other changes of the key.
 READ_OVERLAP_FRACTION: typing.Final = 0.05
 QUEUE_CALL_TIMEOUTS: typing.Final = 2
-# A retry waits for a random part of the failed attempt's duration, doubled each time that it was
-# outvoted. The minimum and the maximum are fractions of the call timeout.
+# The delay before a retry is a random part of the failed attempt's duration, doubled each time that it
+# was outvoted. The duration counts as at least, and the result as at most, a fraction of the call
+# timeout.
 MIN_RETRY_FRACTION: typing.Final = 0.02
 MAX_RETRY_FRACTION: typing.Final = 0.5
 MAX_RETRY_DOUBLINGS: typing.Final = 4
@@ -188,8 +189,8 @@
 
     def _retry_delay_s(self, attempt_s: float, outvoted: int) -> float:
         """The delay before the next attempt, randomized so that competing proposers diverge."""
-        min_delay_s = max(attempt_s, self._call_timeout_s * MIN_RETRY_FRACTION)
-        max_delay_s = min_delay_s * float(2 ** min(outvoted, MAX_RETRY_DOUBLINGS))
+        base_delay_s = max(attempt_s, self._call_timeout_s * MIN_RETRY_FRACTION)
+        max_delay_s = base_delay_s * float(2 ** min(outvoted, MAX_RETRY_DOUBLINGS))
         return min(max_delay_s, self._call_timeout_s * MAX_RETRY_FRACTION) * self._rng.random()
 
     async def read(self, key: str) -> Read:
--- a/packages/register/src/dykeswitch/register/quorum.py
+++ b/packages/register/src/dykeswitch/register/quorum.py
@@ -68,7 +68,7 @@
         return False
 
     def address(self, disk: str, listed_address: str) -> ports.Address:
-        """The address of a disk: where it was last seen, otherwise `default` from the member set."""
+        """The address of a disk: where it was last seen, otherwise `listed_address`."""
         return self.addresses.get(disk) or ports.address_of(listed_address)
 
     async def call(
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -168,8 +168,8 @@
         await asyncio.sleep(0.5)
         founders[0].registry.restart()
         await asyncio.sleep(5.0)
-        seated = [core.store.daemon.voter.has_vote() for core in founders]
-        assert any(seated) is not guarded
+        have_vote = [core.store.daemon.voter.has_vote() for core in founders]
+        assert any(have_vote) is not guarded
 
     loops.run(main())
 
