--- a/packages/register/src/dykeswitch/register/quorum.py
+++ b/packages/register/src/dykeswitch/register/quorum.py
@@ -130,30 +130,27 @@
                 refusals[disk] = result
             progress.set()
 
-        def is_decided() -> bool:
+        def settled() -> bool:
             possible = disks.keys() - refusals.keys()
             return register.has_majorities(groups, replies) or not register.has_majorities(groups, possible)
 
-        deadline: float | None = None
+        until: float | None = None
         tasks = [
             asyncio.create_task(call_one(disk, self.address(disk, listed_address)))
             for disk, listed_address in disks.items()
             if disk not in replies
         ]
         try:
-            while not is_decided():
+            while not settled():
                 progress.clear()
-                if deadline is None and any(failure.code.tag in SUPERSEDED for failure in refusals.values()):
-                    deadline = self._clock.now() + self._call_timeout_s * SUPERSEDED_WAIT_FRACTION
-                async with asyncio.timeout(
-                    None if deadline is None else max(0.0, deadline - self._clock.now())
-                ):
+                if until is None and any(failure.code.tag in SUPERSEDED for failure in refusals.values()):
+                    until = self._clock.now() + self._call_timeout_s * SUPERSEDED_WAIT_FRACTION
+                async with asyncio.timeout(None if until is None else max(0.0, until - self._clock.now())):
                     await progress.wait()
         except TimeoutError:
             pass
         finally:
-            # A late reply is no longer needed, but the vote still helps: the remaining calls are left to
-            # finish.
+            # A late reply is no longer needed, but the vote still helps: let the remaining calls finish.
             self._keep_until_done(tasks)
         return Answers(groups, dict(replies), list(refusals.values()))
 
