--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -446,6 +446,6 @@
         changed = await proposer.change("k", lambda now: now)
         assert isinstance(changed, outcome.Failure) and changed.code.tag == "no_majority"
         # A ballot number that no later ballot could exceed was not adopted.
-        assert register.is_count(proposer._ballot()[0])
+        assert register.is_count(proposer._next_ballot()[0])
 
     loops.run(main())
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -295,13 +295,13 @@
         return 0
 
     async def read(self: proposers.Proposer, key: str) -> proposers.Read:
-        stored = self.copies._held.get(key)
-        copies = await self.copies.everyone(key)
+        stored = self.copies._known.get(key)
+        copies = await self.copies.read_all(key)
         if len(copies) < 2:
             return outcome.failure("no_majority")
         highest = max(copy.ballot for copy in copies.values())
         newest = {disk: copy for disk, copy in copies.items() if copy.ballot == highest}
-        return outcome.Success(self.copies._value_of(key, highest, newest, stored))
+        return outcome.Success(self.copies._value_of_ballot(key, highest, newest, stored))
 
     patch.setattr(proposers.Proposer, "repair_copies", repair_copies)
     # Each read waits for the core that is down: with all the changes, a day would take five minutes.
