--- a/packages/cli/src/dykeswitch/cli/fuzz/outside.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/outside.py
@@ -96,9 +96,9 @@
         json.dumps(result.page()).encode()
         return
     heartbeat = result.value
-    assert 0 < len(heartbeat.name) <= endpoints.NAME_MOST
+    assert 0 < len(heartbeat.name) <= endpoints.MAX_NAME_LENGTH
     assert 0 <= heartbeat.load < 1e9
-    assert endpoints.INTERVAL_LEAST <= heartbeat.interval_s <= 60
+    assert endpoints.MIN_INTERVAL_S <= heartbeat.interval_s <= 60
 
 
 REQUESTS: typing.Final = targets.Target(
--- a/packages/registry/src/dykeswitch/registry/__init__.py
+++ b/packages/registry/src/dykeswitch/registry/__init__.py
@@ -1,1 +1,1 @@
-"""The registry: takes the outside calls for itself and the store."""
+"""The registry: serves the public calls, and makes the decisions that the stores keep."""
--- a/packages/registry/src/dykeswitch/registry/components.py
+++ b/packages/registry/src/dykeswitch/registry/components.py
@@ -1,4 +1,4 @@
-"""The parts of one registry, built in the order in which they need each other."""
+"""The components of one registry, built in the order of their dependencies."""
 
 import random
 
@@ -20,7 +20,7 @@
 
 
 class Components:
-    """What the calls, pages and loops of a registry work with."""
+    """The components that the calls, pages and loops of a registry use."""
 
     def __init__(
         self,
@@ -97,5 +97,5 @@
         )
 
     def live(self) -> list[str]:
-        """Registries known to be alive, ourselves among them."""
+        """Registries known to be alive, including this one."""
         return sorted({self.config.name, *self.gossip.cores()})
--- a/packages/registry/src/dykeswitch/registry/heartbeats.py
+++ b/packages/registry/src/dykeswitch/registry/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of endpoints: taken, and passed to other cores where one leaves."""
+"""Heartbeats of endpoints: recorded, and passed on to other cores when an endpoint leaves."""
 
 import asyncio
 import typing
@@ -10,70 +10,79 @@
 import dykeswitch.registry.standing as standing
 import dykeswitch.timeline as timelines
 
-# The part of a call's span in which other cores must take up that an endpoint leaves.
-TELL_PART: typing.Final = 0.7
+# The share of a call's timeout within which other cores must confirm that an endpoint leaves.
+TELL_TIMEOUT_SHARE: typing.Final = 0.7
 
-Told = outcome.Success[dict[str, object]]
+Acknowledgement = outcome.Success[dict[str, object]]
 
 
 class Heartbeats:
     """Answers the heartbeats of endpoints."""
 
-    def __init__(self, parts: components.Components, stand: standing.Standing) -> None:
+    def __init__(self, parts: components.Components, readiness: standing.Readiness) -> None:
         self._parts = parts
-        self._standing = stand
-        # Calls that nobody waits for any more, held until they end.
-        self._late: set[asyncio.Task[typing.Any]] = set()
+        self._readiness = readiness
+        # Calls whose results are no longer awaited, kept referenced until they finish.
+        self._background_calls: set[asyncio.Task[typing.Any]] = set()
 
-    async def beat(self, raw: object) -> Told | outcome.Failure:
-        """Take a heartbeat in the product's own form.
+    async def handle(self, raw: object) -> Acknowledgement | outcome.Failure:
+        """Handle a heartbeat in this product's own format.
 
-        Without a majority it is taken up, so that whoever still hears us knows of it, but not
-        acknowledged: the endpoint would stay with us and fall silent for all others.
+        Without a majority the heartbeat is recorded, so that members which still hear this
+        registry learn of it, but it is not acknowledged: the endpoint would go on sending its
+        heartbeats here and seem silent to all others.
         """
         heartbeat = endpoints.read_heartbeat(raw)
         if isinstance(heartbeat, outcome.Failure):
             return heartbeat
-        told = self._parts.endpoints.record_heartbeat(heartbeat.value)
-        if isinstance(told, outcome.Failure):
-            return told
+        acknowledgement = self._parts.endpoints.record_heartbeat(heartbeat.value)
+        if isinstance(acknowledgement, outcome.Failure):
+            return acknowledgement
         leaving = heartbeat.value.leaving or heartbeat.value.draining
-        if not self._standing.has_majority():
+        if not self._readiness.has_majority():
             if leaving:
-                self._hold(self._leaving_held(heartbeat.value.name, told))
+                self._run_in_background(self._acknowledge_leaving(heartbeat.value.name, acknowledgement))
             return outcome.failure("cut_off_registry", self._parts.config.name)
-        return await self._leaving_held(heartbeat.value.name, told) if leaving else told
+        return (
+            await self._acknowledge_leaving(heartbeat.value.name, acknowledgement)
+            if leaving
+            else acknowledgement
+        )
 
-    def _hold(self, work: typing.Coroutine[typing.Any, typing.Any, object]) -> None:
-        """Let work end by itself that nobody waits for."""
-        task = asyncio.create_task(work)
-        self._late.add(task)
-        task.add_done_callback(self._late.discard)
+    def _run_in_background(self, coroutine: typing.Coroutine[typing.Any, typing.Any, object]) -> None:
+        """Run a coroutine in the background, without awaiting its result."""
+        task = asyncio.create_task(coroutine)
+        self._background_calls.add(task)
+        task.add_done_callback(self._background_calls.discard)
 
-    async def _leaving_held(self, name: str, told: Told) -> Told | outcome.Failure:
-        """Acknowledge that an endpoint leaves once enough other cores hold it.
+    async def _acknowledge_leaving(
+        self, name: str, acknowledgement: Acknowledgement
+    ) -> Acknowledgement | outcome.Failure:
+        """Acknowledge that an endpoint leaves once enough other cores have recorded it.
 
-        As many cores as may be lost at once could go dark the moment after: one that does not
-        go must know. Too few heard in time: the endpoint is sent to another registry.
+        As many cores as may be lost at once could fail right after the acknowledgement, so one
+        more than that must know. If too few confirm in time, the result is a failure that sends
+        the endpoint to another registry.
         """
         parts = self._parts
         entry = parts.timeline.get(timelines.ENDPOINT, name)
-        need = min(parts.reconfiguration.worst_loss(), len(parts.proposer.members.disks()) - 1)
-        if entry is None or need <= 0:
-            return told
-        ask: frames.Body = {"items": [entry.to_wire(parts.clock.now())], **parts.gossip.call_header()}
+        required = min(parts.reconfiguration.worst_loss(), len(parts.proposer.members.disks()) - 1)
+        if entry is None or required <= 0:
+            return acknowledgement
+        request: frames.Body = {"items": [entry.to_wire(parts.clock.now())], **parts.gossip.call_header()}
         addresses = list(parts.gossip.known_cores().values())
-        wait = parts.config.call_timeout_s * TELL_PART
+        timeout_s = parts.config.call_timeout_s * TELL_TIMEOUT_SHARE
         calls = [
-            asyncio.create_task(parts.call_client.call(address, "tell", ask, wait)) for address in addresses
+            asyncio.create_task(parts.call_client.call(address, "tell", request, timeout_s))
+            for address in addresses
         ]
-        held = 0
+        confirmed = 0
         for call in asyncio.as_completed(calls):
-            held += isinstance(await call, outcome.Success)
-            if held >= need:
-                # The rest are told all the same: those calls end by themselves.
-                self._late.update(c for c in calls if not c.done())
-                for late in self._late:
-                    late.add_done_callback(self._late.discard)
-                return told
-        return outcome.failure("not_held", f"{held} of {need} other cores")
+            confirmed += isinstance(await call, outcome.Success)
+            if confirmed >= required:
+                # The remaining cores are informed too: their calls go on in the background.
+                self._background_calls.update(remaining for remaining in calls if not remaining.done())
+                for task in self._background_calls:
+                    task.add_done_callback(self._background_calls.discard)
+                return acknowledgement
+        return outcome.failure("not_held", f"{confirmed} of {required} other cores")
--- a/packages/registry/src/dykeswitch/registry/lender.py
+++ b/packages/registry/src/dykeswitch/registry/lender.py
@@ -1,6 +1,7 @@
-"""The lender: lends proxies the coins by which extra go's are paid, and never more than there are.
+"""The lender: lends proxies the tokens that retries are paid with, never more than there are.
 
-The sum that must hold, and the ways that were weighed: docs/lending.md.
+A service's floor (the setting `extra_floor`) is divided into parts, and each part is lent by one
+registry. docs/lending.md has the sum that must never be exceeded, and the alternatives considered.
 """
 
 import dataclasses
@@ -13,216 +14,228 @@
 import dykeswitch.settings as settings
 import dykeswitch.timeline.slots as slots
 
-# The part of the floor that is lent: what is left is for requests on the wire as a window begins.
-LENT_PART: typing.Final = 0.95
-# Who had no extra go lately gets a few coins, as long as they leave some for who needs them.
-QUIET_MOST: typing.Final = 3
-QUIET_PART: typing.Final = 0.75
-# What an ask says it wants: nothing, a few to have at hand, or so many.
-NOTHING: typing.Final = 0
-QUIET: typing.Final = 1
-WANT_MOST: typing.Final = 1_000_000
+# The share of a service's floor that is lent; the rest covers requests in transit as a window begins.
+LENT_SHARE: typing.Final = 0.95
+# A borrower that had no retry recently gets a small reserve, of at most so many tokens; all reserves
+# together are limited to a share of the part, so that some is left for borrowers that need it.
+MAX_RESERVE: typing.Final = 3
+RESERVE_SHARE: typing.Final = 0.75
+# What a loan request may want: no tokens, a small reserve, or this number of tokens (two and more).
+WANT_NONE: typing.Final = 0
+WANT_RESERVE: typing.Final = 1
+MAX_COUNT: typing.Final = 1_000_000
 
 
 @dataclasses.dataclass(slots=True)
 class Account:
-    """What one borrower may still owe of one part, and what it asked for last."""
+    """What one borrower may still owe of one part, and its last request."""
 
-    turn: int = -1
-    want: int = 0
-    got: int = 0
-    asked: float = -1e9
-    # Coins, and until when they may be owed.
-    outs: list[tuple[int, float]] = dataclasses.field(default_factory=list)
+    last_sequence: int = -1
+    last_want: int = 0
+    last_granted: int = 0
+    requested_at: float = -1e9
+    # Numbers of tokens, each with the time until which it may be owed.
+    debts: list[tuple[int, float]] = dataclasses.field(default_factory=list)
 
-    def out(self, now: float) -> int:
+    def owed(self, now: float) -> int:
         """The most that may be owed now."""
-        return max((coins for coins, until in self.outs if until > now), default=0)
+        return max((tokens for tokens, until in self.debts if until > now), default=0)
 
-    def pressed(self, now: float, span: float) -> bool:
-        """Whether its borrower asked for more than a few within a span."""
-        return self.want > QUIET and now - self.asked < span
+    def is_demanding(self, now: float, window_s: float) -> bool:
+        """Whether the borrower asked for more than a reserve within the last `window_s`."""
+        return self.last_want > WANT_RESERVE and now - self.requested_at < window_s
 
-    def cut(self, bound: int, now: float) -> None:
-        """The borrower holds itself to no more than this."""
-        self.outs = [(min(coins, bound), until) for coins, until in self.outs if until > now and bound]
+    def limit_to(self, bound: int, now: float) -> None:
+        """Lower the debts to the bound that the borrower has promised to observe."""
+        self.debts = [(min(tokens, bound), until) for tokens, until in self.debts if until > now and bound]
 
-    def put(self, coins: int, until: float) -> None:
-        # What runs out sooner and is no more than this says nothing.
-        self.outs = [out for out in self.outs if out[0] > coins]
-        self.outs.append((coins, until))
+    def record_loan(self, tokens: int, until: float) -> None:
+        # Debts that end sooner and are no larger are covered by this one.
+        self.debts = [debt for debt in self.debts if debt[0] > tokens]
+        self.debts.append((tokens, until))
 
 
 @dataclasses.dataclass(slots=True)
-class Book:
-    """Who has what of one slot's services, under one fence."""
+class LoanTable:
+    """The borrowers' accounts for the services of one slot, under one fence."""
 
     fence: int
     services: dict[str, dict[str, Account]] = dataclasses.field(default_factory=dict)
 
 
-class Ask(typing.NamedTuple):
-    """One borrower's wish for one part of one service's floor."""
+class LoanRequest(typing.NamedTuple):
+    """One borrower's request for tokens of one part of one service's floor."""
 
     service: str
     part: int
     want: int
-    # What is lent to it now, and what it holds itself to until it is answered.
+    # What is lent to it now, and the bound it observes until it has an answer.
     lent: int
     bound: int
 
 
-def read_ask(raw: object) -> Ask:
-    """An ask off the wire; ValueError if it is none."""
+def read_loan_request(raw: object) -> LoanRequest:
+    """Read a loan request from a call's body; raises `ValueError` if it is malformed."""
     if not isinstance(raw, (list, tuple)) or len(raw) != 5 or not isinstance(raw[0], str):
-        raise ValueError("no ask")
+        raise ValueError("loan request: must be a service and four counts")
     counts = raw[1:]
-    if any(not isinstance(n, int) or isinstance(n, bool) or not 0 <= n <= WANT_MOST for n in counts):
-        raise ValueError("an ask's counts")
+    if any(not isinstance(n, int) or isinstance(n, bool) or not 0 <= n <= MAX_COUNT for n in counts):
+        raise ValueError(f"loan request: counts must be integers from 0 to {MAX_COUNT}")
     if counts[0] >= slots.PARTS:
-        raise ValueError("an ask's part")
-    return Ask(raw[0], *counts)
+        raise ValueError(f"loan request: part must be below {slots.PARTS}")
+    return LoanRequest(raw[0], *counts)
 
 
 class Lender:
-    """Lends for the services of the slots that are ours."""
+    """Lends tokens for the services of the slots that this registry owns."""
 
-    def __init__(self, config: settings.Settings, clock: ports.Clock, duty: duties.Duties) -> None:
+    def __init__(self, config: settings.Settings, clock: ports.Clock, assignments: duties.Duties) -> None:
         self._config = config
         self._clock = clock
-        self._duty = duty
-        self._books: dict[int, Book] = {}
-        # Asks that were lent to, refused for want of coins, or not answered at all.
-        self.lent = 0
-        self.refused = 0
-        self.passed_over = 0
+        self._assignments = assignments
+        self._tables: dict[int, LoanTable] = {}
+        # How many requests were granted tokens, refused for lack of tokens, or left unanswered.
+        self.granted_count = 0
+        self.refused_count = 0
+        self.ignored_count = 0
 
     def kinds(self) -> dict[str, frames.Handler]:
         return {"borrow": self._on_borrow, "loans": self._on_loans}
 
-    def part(self, part: int) -> int:
-        """How many coins of a service's floor one part has."""
-        whole = int(self._config.extra_floor * LENT_PART)
-        return (whole + slots.PARTS - 1 - part) // slots.PARTS
+    def part_tokens(self, part: int) -> int:
+        """How many tokens of a service's floor belong to one part."""
+        total = int(self._config.extra_floor * LENT_SHARE)
+        return (total + slots.PARTS - 1 - part) // slots.PARTS
 
     async def _on_borrow(self, body: frames.Body) -> frames.Result:
-        who, turn = str(body["who"])[:256], int(body["turn"])
-        asks = [read_ask(raw) for raw in body["asks"]]
-        # From here to the answer nothing waits: what was sure of the fence is so still.
-        loans = [self._loan(who, turn, ask) for ask in asks]
+        borrower, sequence = str(body["who"])[:256], int(body["turn"])
+        requests = [read_loan_request(raw) for raw in body["asks"]]
+        # Nothing is awaited from here to the answer, so that a confirmed fence stays confirmed.
+        loans = [self._grant(borrower, sequence, request) for request in requests]
         return outcome.Success({"span": self._config.loan_duration_s, "loans": loans})
 
-    def _loan(self, who: str, turn: int, ask: Ask) -> list[int]:
-        """The coins lent and the fence; nothing at all if it is not ours to say."""
-        slot = slots.lend_slot(ask.service, ask.part)
-        hold = self._duty.hold(slot)
-        if hold is None:
-            self.passed_over += 1
+    def _grant(self, borrower: str, sequence: int, request: LoanRequest) -> list[int]:
+        """The tokens lent and the fence; empty if the request can't be answered here."""
+        slot = slots.lend_slot(request.service, request.part)
+        ownership = self._assignments.ownership(slot)
+        if ownership is None:
+            self.ignored_count += 1
             return []
         now = self._clock.now()
-        book = self._books.get(slot)
-        if book is None or book.fence != hold.fence:
-            # Somebody else lent meanwhile, or may have: what we knew is worth nothing.
-            book = self._books[slot] = Book(hold.fence)
-        storage = book.services.setdefault(ask.service, {})
-        account = storage.get(who) or Account()
-        if turn <= account.turn:
-            # A late or repeated ask: what it says of its sender is no longer so.
-            self.passed_over += 1
+        table = self._tables.get(slot)
+        if table is None or table.fence != ownership.fence:
+            # Another registry may have lent in the meantime, so the old accounts are worthless.
+            table = self._tables[slot] = LoanTable(ownership.fence)
+        accounts = table.services.setdefault(request.service, {})
+        account = accounts.get(borrower) or Account()
+        if sequence <= account.last_sequence:
+            # A late or repeated request: what it reports about the borrower is out of date.
+            self.ignored_count += 1
             return []
-        account.turn, account.asked, account.want = turn, now, ask.want
-        account.cut(ask.bound, now)
+        account.last_sequence, account.requested_at, account.last_want = sequence, now, request.want
+        account.limit_to(request.bound, now)
         until = now + self._config.loan_duration_s + self._config.loan_lapse_s
-        coins = 0
-        if ask.want != NOTHING:
-            coins = self._coins(storage, who, account, ask, now, self._waits(hold) > 0)
-        if coins:
-            account.put(coins, until)
-            self.lent += 1
-        elif ask.want != NOTHING:
-            self.refused += 1
-        account.got = coins
-        storage[who] = account
-        _clear(book, ask.service, now, self._config.loan_duration_s)
-        return [coins, hold.fence]
-
-    def _waits(self, hold: duties.Hold) -> float:
-        """How long until nothing can be out that the slot's owner before us lent."""
-        if hold.fence == 1:
+        tokens = 0
+        if request.want != WANT_NONE:
+            tokens = self._grantable(
+                accounts, borrower, account, request, now, self._takeover_wait_s(ownership) > 0
+            )
+        if tokens:
+            account.record_loan(tokens, until)
+            self.granted_count += 1
+        elif request.want != WANT_NONE:
+            self.refused_count += 1
+        account.last_granted = tokens
+        accounts[borrower] = account
+        _remove_settled(table, request.service, now, self._config.loan_duration_s)
+        return [tokens, ownership.fence]
+
+    def _takeover_wait_s(self, ownership: duties.Ownership) -> float:
+        """How long until no loan of the slot's previous owner can be outstanding."""
+        if ownership.fence == 1:
             return 0.0
-        return max(0.0, hold.since + self._config.takeover_wait_s - self._clock.now())
-
-    def _coins(
-        self, storage: dict[str, Account], who: str, account: Account, ask: Ask, now: float, waits: bool
+        return max(0.0, ownership.since + self._config.takeover_wait_s - self._clock.now())
+
+    def _grantable(
+        self,
+        accounts: dict[str, Account],
+        borrower: str,
+        account: Account,
+        request: LoanRequest,
+        now: float,
+        taking_over: bool,
     ) -> int:
-        """How many coins a borrower may have now."""
-        if waits:
-            # What it still has of the lender before us is out anyway, and may stay so.
-            lent = min(ask.lent, self.part(ask.part))
-            if who in storage:
-                return min(lent, account.out(now))
-            account.put(ask.bound, now + self._config.loan_lapse_s)
+        """How many tokens a borrower may have now."""
+        if taking_over:
+            # What the previous lender lent it is outstanding anyway, and may stay so.
+            lent = min(request.lent, self.part_tokens(request.part))
+            if borrower in accounts:
+                return min(lent, account.owed(now))
+            account.record_loan(request.bound, now + self._config.loan_lapse_s)
             return lent
-        whole = self.part(ask.part)
-        others = {name: a for name, a in storage.items() if name != who}
-        out = sum(a.out(now) for a in others.values())
-        pressed = [a for a in others.values() if a.pressed(now, self._config.loan_duration_s)]
-        share = max(1, whole // (len(pressed) + 1))
-        short = any(a.got < min(a.want, share) for a in pressed)
-        if ask.want == QUIET:
-            few = int(whole * QUIET_PART)
-            quiet = sum(1 for a in others.values() if a.want == QUIET and a.out(now))
-            level = 1 if short else min(QUIET_MOST, max(1, few // (quiet + 1)))
-            return max(0, min(level, few - out))
-        most = max(0, whole - out)
-        if short:
-            return min(ask.want, share, most)
-        # Half of what is free, so that who comes next finds some.
-        have = min(account.out(now), most)
-        return min(ask.want, have + (most - have + 1) // 2)
+        total = self.part_tokens(request.part)
+        others = {name: a for name, a in accounts.items() if name != borrower}
+        owed_by_others = sum(a.owed(now) for a in others.values())
+        demanding = [a for a in others.values() if a.is_demanding(now, self._config.loan_duration_s)]
+        fair_share = max(1, total // (len(demanding) + 1))
+        others_short = any(a.last_granted < min(a.last_want, fair_share) for a in demanding)
+        if request.want == WANT_RESERVE:
+            reserve_total = int(total * RESERVE_SHARE)
+            reserves = sum(1 for a in others.values() if a.last_want == WANT_RESERVE and a.owed(now))
+            reserve = 1 if others_short else min(MAX_RESERVE, max(1, reserve_total // (reserves + 1)))
+            return max(0, min(reserve, reserve_total - owed_by_others))
+        available = max(0, total - owed_by_others)
+        if others_short:
+            return min(request.want, fair_share, available)
+        # Half of what is free, so that the next borrower finds some.
+        owed = min(account.owed(now), available)
+        return min(request.want, owed + (available - owed + 1) // 2)
 
     def remove_expired(self) -> None:
-        """Let go of what is over, also for services that nobody asks for any more."""
+        """Remove expired loans, also of services that nobody borrows for any more."""
         now = self._clock.now()
-        for book in self._books.values():
-            for service in list(book.services):
-                _clear(book, service, now, self._config.loan_duration_s)
+        for table in self._tables.values():
+            for service in list(table.services):
+                _remove_settled(table, service, now, self._config.loan_duration_s)
 
     async def _on_loans(self, body: frames.Body) -> frames.Result:
         return outcome.Success({"rows": self.rows()})
 
     def rows(self) -> list[list[typing.Any]]:
-        """For each service and part: lender, fence, borrowers, lent now, out, coins in all, wait left."""
+        """For each service and part: lender, fence, borrowers, tokens lent, owed and in all, wait left."""
         now = self._clock.now()
-        found: list[list[typing.Any]] = []
-        for slot, book in sorted(self._books.items()):
-            hold = self._duty.hold(slot)
-            if hold is None or hold.fence != book.fence:
+        rows: list[list[typing.Any]] = []
+        for slot, table in sorted(self._tables.items()):
+            ownership = self._assignments.ownership(slot)
+            if ownership is None or ownership.fence != table.fence:
                 continue
             part = (slot - slots.PROBE) // slots.BUCKETS
-            for service, storage in sorted(book.services.items()):
-                outs = [a.out(now) for a in storage.values()]
+            for service, accounts in sorted(table.services.items()):
+                owed = [a.owed(now) for a in accounts.values()]
                 lent = [
-                    max((c for c, until in a.outs if until - self._config.loan_lapse_s > now), default=0)
-                    for a in storage.values()
+                    max(
+                        (tokens for tokens, until in a.debts if until - self._config.loan_lapse_s > now),
+                        default=0,
+                    )
+                    for a in accounts.values()
                 ]
-                wait = round(self._waits(hold), 1)
-                many = sum(1 for n in lent if n)
-                sums = [sum(lent), sum(outs), self.part(part)]
-                found.append([service, part, self._config.name, book.fence, many, *sums, wait])
-        return found
+                wait_s = round(self._takeover_wait_s(ownership), 1)
+                borrowers = sum(1 for n in lent if n)
+                sums = [sum(lent), sum(owed), self.part_tokens(part)]
+                rows.append([service, part, self._config.name, table.fence, borrowers, *sums, wait_s])
+        return rows
 
     def sums(self) -> tuple[int, int]:
-        """Coins lent now, and all that count as out."""
+        """The tokens lent now, and all that may still be owed."""
         rows = self.rows()
         return sum(row[5] for row in rows), sum(row[6] for row in rows)
 
 
-def _clear(book: Book, service: str, now: float, span: float) -> None:
-    """Keep accounts that have something out, and those pressed lately; let go of the rest."""
-    storage = book.services[service]
-    for name, account in list(storage.items()):
-        if not account.pressed(now, span) and not account.out(now):
-            del storage[name]
-    if not storage:
-        del book.services[service]
+def _remove_settled(table: LoanTable, service: str, now: float, window_s: float) -> None:
+    """Remove the accounts that owe nothing and were not demanding recently."""
+    accounts = table.services[service]
+    for name, account in list(accounts.items()):
+        if not account.is_demanding(now, window_s) and not account.owed(now):
+            del accounts[name]
+    if not accounts:
+        del table.services[service]
--- a/packages/registry/src/dykeswitch/registry/member_calls.py
+++ b/packages/registry/src/dykeswitch/registry/member_calls.py
@@ -1,4 +1,4 @@
-"""Calls between registries, and of proxies to them."""
+"""Calls between registries, and from proxies to registries."""
 
 import asyncio
 
@@ -9,13 +9,13 @@
 
 
 class MemberCalls:
-    """Answers what other members ask, and asks the other registries."""
+    """Answers calls of other members, and calls the other registries."""
 
     def __init__(self, parts: components.Components) -> None:
         self._parts = parts
 
     def kinds(self) -> dict[str, frames.Handler]:
-        """The calls a registry answers, by their kinds."""
+        """The handlers of the calls that a registry answers, by kind."""
         parts = self._parts
         return {
             **parts.gossip.kinds(),
@@ -28,8 +28,8 @@
             "proxies": self._on_proxies,
         }
 
-    async def ask_others(self, kind: str, body: frames.Body) -> list[frames.Body]:
-        """What the other registries answer, those that do in time."""
+    async def call_others(self, kind: str, body: frames.Body) -> list[frames.Body]:
+        """Call all other registries; returns the replies that arrive in time."""
         parts = self._parts
         addresses = list(parts.gossip.cores().values())
         found = await asyncio.gather(
@@ -41,32 +41,38 @@
         return [result.value for result in found if isinstance(result, outcome.Success)]
 
     async def _on_confirm(self, body: frames.Body) -> frames.Result:
-        """What a majority holds at this moment, not what we read a while ago."""
+        """Report what a majority stores now, rather than what this registry read earlier."""
         failure = await self._parts.publisher.read_documents()
         if failure is not None:
             return failure
-        # Polls carry marks: whether one is sure of the layout and of who left does not hang on them.
+        # Marks are left out, since polls carry them: confirming the layout and departures needs none.
         gossip = self._parts.gossip
         return outcome.Success({"items": gossip.news_for(gossip.known_position(body), marks=False)})
 
     async def _on_seen(self, body: frames.Body) -> frames.Result:
-        """What our own probes found last, and how long ago: walls differ, spans do not."""
+        """Report the latest probe results of this registry.
+
+        Their ages are sent rather than their times, because wall clocks differ between machines.
+        """
         now = self._parts.clock.now()
-        seen = {name: [now - s.at, s.reason] for name, s in self._parts.prober.seen.items()}
+        seen = {
+            name: [now - result.finished_at, result.reason]
+            for name, result in self._parts.prober.results.items()
+        }
         return outcome.Success({"seen": seen})
 
     async def _on_spans(self, body: frames.Body) -> frames.Result:
-        """What our own history holds of some endpoints."""
+        """Report this registry's history of some endpoints."""
         names = [str(name) for name in body["names"]]
-        return outcome.Success({"rows": self._parts.replies.spans.of(names)})
+        return outcome.Success({"rows": self._parts.replies.history.of(names)})
 
     async def _on_heard(self, body: frames.Body) -> frames.Result:
-        """Another registry heard heartbeats of these."""
+        """Record that another registry heard heartbeats of some endpoints."""
         self._parts.endpoints.heard_elsewhere([str(name) for name in body["names"]])
         return outcome.Success({})
 
     async def _on_proxies(self, body: frames.Body) -> frames.Result:
-        """What proxies said of themselves, as far as they said it to us."""
+        """Report the entries of the proxies known to this registry."""
         now = self._parts.clock.now()
         entries = self._parts.timeline.all(timelines.PROXY)
         return outcome.Success({"items": [entry.to_wire(now) for entry in entries]})
--- a/packages/registry/src/dykeswitch/registry/order_rules.py
+++ b/packages/registry/src/dykeswitch/registry/order_rules.py
@@ -1,9 +1,9 @@
-"""What becomes of an operator's order, given the value that stands in the register.
+"""Rules for the result of an operator's order, given the current value of the register.
 
-- The same body under the same number, or for the same `If-Match`, is acknowledged for as long
-  as it is remembered, whatever came after it.
+- The same body under the same number, or with the same `If-Match`, is acknowledged for as long
+  as it is remembered, whatever was stored after it.
 - No second body is confirmed under a number that is remembered.
-- A number below the newest is acknowledged and changes no layout.
+- A number below the newest is acknowledged but doesn't change the layout.
 """
 
 import dataclasses
@@ -15,33 +15,41 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One layout that an operator wants in force."""
+    """One layout that an operator wants to be in force."""
 
-    # Names this order at the registry that took it.
+    # Identifies this order; assigned by the registry that received it.
     operation: str
     body: bytes
     digest: bytes
-    # The operator's own number, where layouts are numbered.
+    # The operator's own number, if layouts are numbered.
     number: int | None = None
     # The register version that must be the newest, as `If-Match` says.
     match: int | None = None
 
 
-def decide(now: register.Value, order: Order, held: int | None) -> register.Value | outcome.Failure:
-    """The value that should stand after an order; `held` is the number of the one that stands."""
-    if now.version_of(order.operation) is not None:
-        return now
-    memory = order_memory.read(now.memory, now.version)
+def decide(
+    current: register.Value, order: Order, current_number: int | None
+) -> register.Value | outcome.Failure:
+    """The value the register should have after an order; `current_number` is the stored layout's number."""
+    if current.version_of(order.operation) is not None:
+        return current
+    memory = order_memory.read(current.memory, current.version)
     if order.number is not None:
-        return _numbered(now, order, order.number, _with_held(memory, now, held), held)
-    return _unnumbered(now, order, memory, held)
+        return _numbered(
+            current,
+            order,
+            order.number,
+            _with_current_layout(memory, current, current_number),
+            current_number,
+        )
+    return _unnumbered(current, order, memory, current_number)
 
 
 def confirmed_version(value: register.Value, order: Order) -> int:
-    """The register version that a confirmed order made, or the newest if it made none."""
-    made = value.version_of(order.operation)
-    if made is not None:
-        return made
+    """The register version that a confirmed order created, or the newest version if it created none."""
+    version = value.version_of(order.operation)
+    if version is not None:
+        return version
     if order.number is None and order.match is not None:
         memory = order_memory.read(value.memory, value.version)
         if memory.by_version.digest(order.match + 1) == order.digest:
@@ -49,57 +57,57 @@
     return value.version
 
 
-def _with_held(
-    memory: order_memory.OrderMemory, now: register.Value, held: int | None
+def _with_current_layout(
+    memory: order_memory.OrderMemory, current: register.Value, current_number: int | None
 ) -> order_memory.OrderMemory:
-    """The memory with the layout that stands, which one written without a memory lacks."""
-    if held is None or memory.by_number.digest(held) is not None:
+    """The memory with the current layout added, in case that was written before there was a memory."""
+    if current_number is None or memory.by_number.digest(current_number) is not None:
         return memory
-    ledger = order_memory.Ledger(floor=max(0, held - 1))
-    ledger = ledger.with_entry(held, order_memory.digest_of(now.body))
+    ledger = order_memory.Ledger(floor=max(0, current_number - 1))
+    ledger = ledger.with_entry(current_number, order_memory.digest_of(current.body))
     return dataclasses.replace(memory, by_number=ledger)
 
 
 def _numbered(
-    now: register.Value,
+    current: register.Value,
     order: Order,
     number: int,
     memory: order_memory.OrderMemory,
-    held: int | None,
+    current_number: int | None,
 ) -> register.Value | outcome.Failure:
     confirmed = memory.by_number.digest(number)
     if confirmed is not None:
         if confirmed == order.digest:
-            return now
-        return outcome.failure("number_taken", f"another layout was confirmed as {number}")
-    superseded = held is not None and number < held
+            return current
+        return outcome.failure("number_taken", f"another layout was confirmed as number {number}")
+    superseded = current_number is not None and number < current_number
     if superseded and not memory.by_number.knows(number):
-        return now
+        return current
     ledger = memory.by_number.with_entry(number, order.digest)
-    packed = dataclasses.replace(memory, by_number=ledger).pack()
+    memory_bytes = dataclasses.replace(memory, by_number=ledger).pack()
     if superseded:
-        # It is acknowledged, so no other body may be from now on.
-        return dataclasses.replace(now, memory=packed)
-    if order.match is not None and order.match != now.version:
-        return outcome.failure("lost_race", f"newest is {now.version}")
-    return now.successor(order.body, order.operation, packed)
+        # This body is now acknowledged under its number, so no other body may be.
+        return dataclasses.replace(current, memory=memory_bytes)
+    if order.match is not None and order.match != current.version:
+        return outcome.failure("lost_race", f"newest version is {current.version}")
+    return current.successor(order.body, order.operation, memory_bytes)
 
 
 def _unnumbered(
-    now: register.Value, order: Order, memory: order_memory.OrderMemory, held: int | None
+    current: register.Value, order: Order, memory: order_memory.OrderMemory, current_number: int | None
 ) -> register.Value | outcome.Failure:
-    if now.body == order.body:
-        return now
-    if order.match is not None and order.match < now.version:
-        made = order.match + 1
-        if memory.by_version.digest(made) == order.digest:
-            return now
-        if not memory.by_version.knows(made):
-            return outcome.failure("too_old", f"of version {made} nothing is remembered")
-    if held is not None:
-        return outcome.failure("lost_race", f"layouts are numbered; the newest is {held}")
-    if order.match is not None and order.match != now.version:
-        return outcome.failure("lost_race", f"newest is {now.version}")
-    ledger = memory.by_version.with_entry(now.version + 1, order.digest)
-    packed = dataclasses.replace(memory, by_version=ledger).pack()
-    return now.successor(order.body, order.operation, packed)
+    if current.body == order.body:
+        return current
+    if order.match is not None and order.match < current.version:
+        version = order.match + 1
+        if memory.by_version.digest(version) == order.digest:
+            return current
+        if not memory.by_version.knows(version):
+            return outcome.failure("too_old", f"version {version} is older than the remembered orders")
+    if current_number is not None:
+        return outcome.failure("lost_race", f"layouts are numbered; the newest number is {current_number}")
+    if order.match is not None and order.match != current.version:
+        return outcome.failure("lost_race", f"newest version is {current.version}")
+    ledger = memory.by_version.with_entry(current.version + 1, order.digest)
+    memory_bytes = dataclasses.replace(memory, by_version=ledger).pack()
+    return current.successor(order.body, order.operation, memory_bytes)
--- a/packages/registry/src/dykeswitch/registry/orders.py
+++ b/packages/registry/src/dykeswitch/registry/orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders: a layout is put into the register, and the newest is read from it."""
+"""Operators' orders: store a layout in the register, and read the newest one from it."""
 
 import dykeswitch.adapter as adapters
 import dykeswitch.layout as layouts
@@ -14,16 +14,16 @@
 class Orders:
     """Puts and reads layouts on behalf of operators."""
 
-    def __init__(self, parts: components.Components, stand: standing.Standing) -> None:
+    def __init__(self, parts: components.Components, readiness: standing.Readiness) -> None:
         self._parts = parts
-        self._standing = stand
-        self._ops = 0
-        # The layout that the register held last, and its number: each try asks for it again.
-        self._numbered: tuple[bytes, int | None] = (b"", None)
+        self._readiness = readiness
+        self._operation_count = 0
+        # The layout last read from the register, and its number; cached because every attempt needs it.
+        self._number_cache: tuple[bytes, int | None] = (b"", None)
 
     async def newest(self) -> outcome.Success[register.Value] | outcome.Failure:
-        """The newest layout, as it was sent, from a majority."""
-        failure = await self._standing.without_majority()
+        """Read the newest layout from a majority, in the form in which it was sent."""
+        failure = await self._readiness.check_majority()
         if failure is not None:
             return failure
         result = await self._parts.proposer.read(documents.LAYOUT)
@@ -34,24 +34,24 @@
             return outcome.failure("no_such", "no layout yet")
         return outcome.Success(result.value)
 
-    async def put(self, data: bytes, want: int | None = None) -> outcome.Success[int] | outcome.Failure:
-        """Take a layout as it was sent; its version in the register, once it is in force.
+    async def put(self, data: bytes, if_match: int | None = None) -> outcome.Success[int] | outcome.Failure:
+        """Store a layout in the form in which it was sent; returns its register version once in force.
 
-        What becomes of a layout that was sent before, or comes late, say the `order_rules`.
+        `order_rules` decides about layouts that were sent before or arrive late.
         """
         parts = self._parts
         raw = parts.adapter.layout(data)
         checked = raw if isinstance(raw, outcome.Failure) else await layouts.check_cooperatively(raw.value)
         if isinstance(checked, outcome.Failure):
             return checked
-        failure = await self._standing.without_majority()
+        failure = await self._readiness.check_majority()
         if failure is not None:
             return failure
-        kept = (
+        body = (
             layouts.serialize(checked.value) if isinstance(parts.adapter, adapters.DefaultAdapter) else data
         )
-        order = self._order(kept, want, checked.value.number)
-        result = await parts.proposer.change(documents.LAYOUT, lambda now: self._decide(now, order))
+        order = self._order(body, if_match, checked.value.number)
+        result = await parts.proposer.change(documents.LAYOUT, lambda current: self._decide(current, order))
         if isinstance(result, outcome.Failure):
             return result
         await parts.publisher.publish(documents.LAYOUT, result.value)
@@ -60,19 +60,21 @@
         parts.log.info("layout accepted", version=version, number=order.number)
         return outcome.Success(version)
 
-    def _order(self, body: bytes, want: int | None, number: int | None) -> order_rules.Order:
-        self._ops += 1
-        operation = f"{self._parts.config.name}/{self._parts.boot_id}/{documents.LAYOUT}/{self._ops}"
-        return order_rules.Order(operation, body, order_memory.digest_of(body), number, want)
+    def _order(self, body: bytes, if_match: int | None, number: int | None) -> order_rules.Order:
+        self._operation_count += 1
+        operation = (
+            f"{self._parts.config.name}/{self._parts.boot_id}/{documents.LAYOUT}/{self._operation_count}"
+        )
+        return order_rules.Order(operation, body, order_memory.digest_of(body), number, if_match)
 
-    def _decide(self, now: register.Value, order: order_rules.Order) -> register.Value | outcome.Failure:
-        return order_rules.decide(now, order, self._number(now.body))
+    def _decide(self, current: register.Value, order: order_rules.Order) -> register.Value | outcome.Failure:
+        return order_rules.decide(current, order, self._number(current.body))
 
     def _number(self, body: bytes) -> int | None:
-        """The operator's number of a layout that the register holds."""
-        if self._numbered[0] != body:
-            self._numbered = (body, self._read_number(body))
-        return self._numbered[1]
+        """The operator's own number of the layout stored in the register."""
+        if self._number_cache[0] != body:
+            self._number_cache = (body, self._read_number(body))
+        return self._number_cache[1]
 
     def _read_number(self, body: bytes) -> int | None:
         raw = self._parts.adapter.layout(body) if body else outcome.failure("no_such")
--- a/packages/registry/src/dykeswitch/registry/pages.py
+++ b/packages/registry/src/dykeswitch/registry/pages.py
@@ -1,4 +1,4 @@
-"""Pages that a registry shows: counters, endpoints, members, health."""
+"""The pages of a registry: counters, endpoints, members, health."""
 
 import typing
 
@@ -12,7 +12,7 @@
 
 
 class Pages:
-    """Puts together what is shown of the fleet."""
+    """Builds the pages about the fleet."""
 
     def __init__(self, parts: components.Components, members: member_calls.MemberCalls) -> None:
         self._parts = parts
@@ -22,30 +22,32 @@
         return sorted(self._parts.timeline.all(timelines.ENDPOINT), key=lambda entry: entry.key)
 
     def counters(self) -> bytes:
-        """This registry's counters, in the text form of Prometheus."""
-        # Brought in when somebody asks: few do, and each start would pay for it.
+        """This registry's counters, in the Prometheus text format."""
+        # Imported on demand: the page is rarely requested, and the import would slow down every start.
         import dykeswitch.logs.counters as counters
 
         parts = self._parts
-        up = [e for e in parts.timeline.all(timelines.ENDPOINT) if e.fields["state"] == timelines.UP]
+        up = [
+            entry for entry in parts.timeline.all(timelines.ENDPOINT) if entry.fields["state"] == timelines.UP
+        ]
         lent, out = parts.lender.sums()
         counts = {
             "coins_lent": lent,
             "coins_out": out,
-            "loans_lent": parts.lender.lent,
-            "loans_refused": parts.lender.refused,
-            "loans_passed_over": parts.lender.passed_over,
+            "loans_lent": parts.lender.granted_count,
+            "loans_refused": parts.lender.refused_count,
+            "loans_passed_over": parts.lender.ignored_count,
             "probes": parts.prober.probes,
             "copies_mended": parts.proposer.repaired,
             "endpoints_up": len(up),
-            "endpoints_down": sum(1 for e in up if parts.marks.mark_of(e.key) is not None),
+            "endpoints_down": sum(1 for entry in up if parts.marks.mark_of(entry.key) is not None),
             "member_set_epoch": parts.proposer.members.epoch,
             **parts.meter.counts,
         }
         return counters.page("registry", parts.config.name, counts)
 
     def endpoints(self) -> Document:
-        """Every endpoint with what it said of itself, and its mark."""
+        """Every endpoint with what it reported about itself, and its mark."""
         found = []
         for entry in self._endpoint_entries():
             mark = self._parts.marks.mark_of(entry.key)
@@ -58,53 +60,58 @@
         return {"endpoints": found}
 
     def members(self) -> Document:
-        """Cores, proxies, the stores that vote, and who has which duty."""
+        """The cores, the proxies, the voting stores, and the owner of each slot."""
         parts = self._parts
         members = parts.proposer.members
         states = parts.reconfiguration.states
         return {
-            "cores": {e.key: e.fields for e in parts.timeline.all(timelines.CORE)},
-            "proxies": {e.key: e.fields for e in parts.timeline.all(timelines.PROXY)},
+            "cores": {entry.key: entry.fields for entry in parts.timeline.all(timelines.CORE)},
+            "proxies": {entry.key: entry.fields for entry in parts.timeline.all(timelines.PROXY)},
             "view": sorted(parts.gossip.view),
             "stores": {
                 "epoch": members.epoch,
                 "joint": members.is_joint(),
                 "groups": [dict(group) for group in members.groups],
-                "seen": {d: {"spot": s.address, "seated": s.seated} for d, s in states.items()},
+                "seen": {
+                    disk: {"spot": state.address, "seated": state.seated} for disk, state in states.items()
+                },
+            },
+            "duties": {
+                str(slot): {"owner": owner, "fence": fence}
+                for slot, (owner, fence) in parts.duties.owners().items()
             },
-            "duties": {str(s): {"owner": o, "fence": f} for s, (o, f) in parts.duties.owners().items()},
             "layout": parts.publisher.documents.version(documents.LAYOUT),
         }
 
     async def health(self) -> Document:
-        """The source's health page, with services for its networks."""
-        probed = await self._probed_ago()
+        """The healthy and unhealthy endpoints of each service."""
+        last_probed = await self._probe_ages()
         services: dict[str, dict[str, list[Document]]] = {}
         for entry in self._endpoint_entries():
             if entry.fields["state"] in timelines.FINAL_STATES:
                 continue
             page = services.setdefault(str(entry.fields["service"]), {"healthy": [], "unhealthy": []})
-            row = self._health_row(entry, probed.get(entry.key))
+            row = self._health_row(entry, last_probed.get(entry.key))
             page["unhealthy" if "reason" in row else "healthy"].append(row)
-        return {"timestamp": replies.stamp(self._parts.clock.wall()), "services": services}
+        return {"timestamp": replies.format_time(self._parts.clock.wall()), "services": services}
 
-    async def _probed_ago(self) -> dict[str, float]:
-        """How long ago each endpoint was probed: by one registry each, so all are asked."""
+    async def _probe_ages(self) -> dict[str, float]:
+        """How long ago each endpoint was probed; asks all registries, since each probes only some."""
         now = self._parts.clock.now()
-        ago = {name: now - seen.at for name, seen in self._parts.prober.seen.items()}
-        for told in await self._members.ask_others("seen", {}):
-            for name, (span, _) in told["seen"].items():
-                ago[name] = min(ago.get(name, span), span)
-        return ago
+        ages_s = {name: now - result.finished_at for name, result in self._parts.prober.results.items()}
+        for reply in await self._members.call_others("seen", {}):
+            for name, (age_s, _) in reply["seen"].items():
+                ages_s[name] = min(ages_s.get(name, age_s), age_s)
+        return ages_s
 
-    def _health_row(self, entry: timelines.Entry, probed_ago: float | None) -> Document:
+    def _health_row(self, entry: timelines.Entry, probe_age_s: float | None) -> Document:
         mark = self._parts.marks.mark_of(entry.key)
         wall = self._parts.gossip.wall()
         row: Document = {
             "id": entry.key,
             "address": entry.fields["address"],
             "zone": entry.fields["zone"],
-            "lastChecked": None if probed_ago is None else replies.stamp(wall - probed_ago),
+            "lastChecked": None if probe_age_s is None else replies.format_time(wall - probe_age_s),
         }
         if entry.fields["state"] == timelines.LAPSED:
             row["reason"] = "beats stopped"
--- a/packages/registry/src/dykeswitch/registry/program.py
+++ b/packages/registry/src/dykeswitch/registry/program.py
@@ -1,4 +1,4 @@
-"""The registry's process: built out of its parts, run, and stopped in order."""
+"""The registry process: builds its components, runs them, and stops them in order."""
 
 import asyncio
 import random
@@ -23,7 +23,7 @@
 
 
 class Registry:
-    """One registry."""
+    """One registry process."""
 
     def __init__(
         self,
@@ -42,43 +42,47 @@
         self.gossip = self.parts.gossip
         self.duties = self.parts.duties
         self.documents = self.parts.publisher.documents
-        self.standing = standing.Standing(self.parts)
-        self.gossip.has_quorum = lambda: self.standing.unready() is None
-        self.heartbeats = heartbeats.Heartbeats(self.parts, self.standing)
-        self.orders = orders.Orders(self.parts, self.standing)
+        self.readiness = standing.Readiness(self.parts)
+        self.gossip.has_quorum = lambda: self.readiness.unready_reason() is None
+        self.heartbeats = heartbeats.Heartbeats(self.parts, self.readiness)
+        self.orders = orders.Orders(self.parts, self.readiness)
         self.members = member_calls.MemberCalls(self.parts)
         self.relay = relay.DocumentRelay(self.parts)
-        self.upkeep = upkeeps.Upkeep(self.parts, self.members, self.standing)
+        self.upkeep = upkeeps.Upkeep(self.parts, self.members, self.readiness)
         self._server: ports.WebServer | None = None
         self._stop = asyncio.Event()
-        commands = queries.Queries(self.parts, self.members, planned.PlannedPauses(self.parts, self.standing))
-        shown = pages.Pages(self.parts, self.members)
-        handlers = routes.Routes(config, log, self.standing, self.heartbeats, self.orders, commands, shown)
+        commands = queries.Queries(
+            self.parts, self.members, planned.PlannedPauses(self.parts, self.readiness)
+        )
+        fleet_pages = pages.Pages(self.parts, self.members)
+        handlers = routes.Routes(
+            config, log, self.readiness, self.heartbeats, self.orders, commands, fleet_pages
+        )
         self.app = handlers.application(self.parts.adapter.calls(self))
 
-    # What an adapter may ask of the registry.
+    # The calls that an adapter may make (`adapter.Calls`).
 
     async def heartbeat(self, raw: object) -> outcome.Success[dict[str, object]] | outcome.Failure:
-        """Take a heartbeat in the product's own form."""
-        return await self.heartbeats.beat(raw)
+        """Handle a heartbeat in this product's own format."""
+        return await self.heartbeats.handle(raw)
 
     async def put_layout(self, data: bytes) -> outcome.Success[int] | outcome.Failure:
-        """Take a layout as it was sent; its version."""
+        """Store a layout in the form in which it was sent; returns its version."""
         return await self.orders.put(data)
 
     async def newest_layout(self) -> outcome.Success[bytes] | outcome.Failure:
-        """The newest layout, as it was sent, from a majority."""
+        """Read the newest layout from a majority, in the form in which it was sent."""
         found = await self.orders.newest()
         return found if isinstance(found, outcome.Failure) else outcome.Success(found.value.body)
 
     def ready(self) -> str | None:
-        """Why this registry is not ready; nothing if it is."""
-        return self.standing.unready()
+        """The reason why this registry is not ready, or None if it is."""
+        return self.readiness.unready_reason()
 
     # Running and stopping.
 
     async def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until `stop` is called."""
         config = self.config
         kinds = {**self.members.kinds(), **self.relay.kinds()}
         server = frames.CallServer(kinds, self.log.note, self.parts.meter)
@@ -87,10 +91,10 @@
             self._server = await self.machine.web.serve(config.web, self.app)
             self.log.info("started", web=config.web, member=config.member)
             async with asyncio.TaskGroup() as group:
-                loops = [*self.upkeep.loops(), self.relay.keep_fetched()]
+                loops = [*self.upkeep.loops(), self.relay.fetch_loop()]
                 tasks = [group.create_task(loop) for loop in loops]
                 await self._stop.wait()
-                self.standing.stopping = True
+                self.readiness.stopping = True
                 self.log.info("stopping")
                 await self.clock.sleep(config.lead_s)
                 await self._server.stop(max(1.0, config.grace_s - config.lead_s))
@@ -102,10 +106,10 @@
         self.log.info("stopped")
 
     def stop(self) -> None:
-        """Ask for an orderly stop."""
+        """Request an orderly stop."""
         self._stop.set()
 
     def reload_settings(self, config: settings.Settings) -> None:
-        """Take up changed settings, as far as a running program can: seeds; the rest at a start."""
+        """Apply changed settings: only the seeds; all others take effect at the next start."""
         self.parts.gossip.set_seeds(config.seeds)
-        self.log.info("settings taken up", seeds=len(config.seeds))
+        self.log.info("settings reloaded", seeds=len(config.seeds))
--- a/packages/registry/src/dykeswitch/registry/standing.py
+++ b/packages/registry/src/dykeswitch/registry/standing.py
@@ -1,4 +1,4 @@
-"""Where a registry stands: stopping, and how long ago it read from a majority."""
+"""Readiness of a registry: whether it is stopping, and how long ago it read from a majority."""
 
 import asyncio
 import typing
@@ -6,12 +6,12 @@
 import dykeswitch.outcome as outcome
 import dykeswitch.registry.components as components
 
-# The part of a call's span in which a registry that had no majority lately looks for one.
-LOOK_PART: typing.Final = 0.5
+# The share of a call's timeout within which a registry without a recent majority tries to read one.
+READ_TIMEOUT_SHARE: typing.Final = 0.5
 
 
-class Standing:
-    """Tells whether this registry may speak for the fleet."""
+class Readiness:
+    """Reports whether this registry may answer on behalf of the fleet."""
 
     def __init__(self, parts: components.Components) -> None:
         self._parts = parts
@@ -20,39 +20,42 @@
     def has_majority(self) -> bool:
         """Whether a majority of stores was read within the last `drain_s`.
 
-        Without one the other registries may know, and decide, what this one does not.
+        Without one, other registries may make decisions that this one does not know of.
         """
-        age = self._parts.clock.now() - self._parts.publisher.majority_at
-        return age <= self._parts.config.drain_s
+        age_s = self._parts.clock.now() - self._parts.publisher.majority_read_at
+        return age_s <= self._parts.config.drain_s
 
-    async def without_majority(self) -> outcome.Failure | None:
-        """Say soon that there is no majority: an operator waits a second, and goes on elsewhere."""
+    async def check_majority(self) -> outcome.Failure | None:
+        """Return a failure if there is no majority.
+
+        It does so quickly, because an operator tries another registry after a second.
+        """
         if self.has_majority():
             return None
         try:
-            async with asyncio.timeout(self._parts.config.call_timeout_s * LOOK_PART):
+            async with asyncio.timeout(self._parts.config.call_timeout_s * READ_TIMEOUT_SHARE):
                 return await self._parts.publisher.read_documents()
         except TimeoutError:
-            return outcome.failure("no_majority", "not heard of for a while")
+            return outcome.failure("no_majority", "no majority of stores was read recently")
 
-    def unready(self) -> str | None:
-        """Why this registry is not ready; nothing if it is."""
+    def unready_reason(self) -> str | None:
+        """The reason why this registry is not ready, or None if it is."""
         if self.stopping:
             return "stopping"
         if not self.has_majority():
             return "no majority of stores"
         return None
 
-    def fresh(self) -> dict[str, typing.Any]:
-        """How old what we say may be, and whether we speak with a majority behind us."""
+    def freshness(self) -> dict[str, typing.Any]:
+        """How old this registry's data may be, and whether it has a majority."""
         parts = self._parts
         now = parts.clock.now()
-        majority_at = parts.publisher.majority_at
-        age = round(now - majority_at, 2) if majority_at > 0 else None
-        alone = now - parts.gossip.last_heard_at > parts.config.drain_s
+        majority_at = parts.publisher.majority_read_at
+        age_s = round(now - majority_at, 2) if majority_at > 0 else None
+        isolated = now - parts.gossip.last_heard_at > parts.config.drain_s
         return {
             "by": parts.config.name,
             "majority": self.has_majority() and not self.stopping,
-            "majority_read_s_ago": age,
-            "cut_off": alone,
+            "majority_read_s_ago": age_s,
+            "cut_off": isolated,
         }
--- a/packages/registry/src/dykeswitch/registry/votes.py
+++ b/packages/registry/src/dykeswitch/registry/votes.py
@@ -1,4 +1,4 @@
-"""The answer to `who votes`: the member set, who is behind, and what may be lost now."""
+"""The reply to `who votes`: the member set, which replicas lag, and which losses it can survive now."""
 
 import typing
 
@@ -20,19 +20,19 @@
     "keys behind",
     "versions behind",
 )
-# The votes that a disk may have, by the groups that it stands in.
-SETTLED: typing.Final = "votes"
-COMING: typing.Final = "coming"
-GOING: typing.Final = "going"
-NONE: typing.Final = "none"
+# Whether a disk has a vote, by the groups of the member set that it is in.
+VOTING: typing.Final = "votes"
+GAINING: typing.Final = "coming"
+LOSING: typing.Final = "going"
+NO_VOTE: typing.Final = "none"
 
 
 async def report(
     reconfiguration: reconfigurations.Reconfiguration,
     proposer: proposers.Proposer,
-    ask: language.Show,
+    command: language.Show,
 ) -> replies.Table:
-    """Every replica with its vote, and of the whole what the loss of machines or zones would mean."""
+    """Report every replica with its vote; the summary has the losses that the member set can survive."""
     members = proposer.members
     versions = await proposer.copies.versions() if members.groups else {}
     voters = members.disks()
@@ -40,7 +40,7 @@
     for disk in sorted({*voters, *reconfiguration.states}):
         state = reconfiguration.states.get(disk)
         site = reconfiguration.sites.get(disk, replicas.Site())
-        if not ask.wants("zone", site.zone):
+        if not command.wants("zone", site.zone):
             continue
         rows.append(
             [
@@ -60,10 +60,10 @@
     groups = [dict(group) for group in members.groups]
     inside = [disk in group for group in groups]
     if not any(inside):
-        return NONE
+        return NO_VOTE
     if all(inside):
-        return SETTLED
-    return COMING if inside[-1] else GOING
+        return VOTING
+    return GAINING if inside[-1] else LOSING
 
 
 def _state(
@@ -81,12 +81,12 @@
 
 
 def _lag(disk: str, versions: dict[str, dict[str, int]]) -> tuple[int | None, int | None]:
-    """How many keys a disk holds an older version of, and by how many versions in all."""
+    """For how many keys a disk has an older version, and by how many versions in total."""
     if disk not in versions:
         return None, None
     newest: dict[str, int] = {}
-    for held in versions.values():
-        for key, version in held.items():
+    for copies in versions.values():
+        for key, version in copies.items():
             newest[key] = max(version, newest.get(key, 0))
     gaps = [version - versions[disk].get(key, 0) for key, version in newest.items()]
     return sum(gap > 0 for gap in gaps), sum(gaps)
@@ -107,7 +107,7 @@
     def by_region(disks: list[str]) -> dict[str, int]:
         return placement.votes_by_region(disks, sites)
 
-    meant = reconfiguration.tolerance
+    tolerance = reconfiguration.tolerance
     return {
         "epoch": members.epoch,
         "changing": members.is_joint(),
@@ -115,5 +115,5 @@
         "machines that may be lost now": placement.survivable_losses(members.groups, answering, by_machine),
         "zones that may be lost now": placement.survivable_losses(members.groups, answering, by_zone),
         "regions that may be lost now": placement.survivable_losses(members.groups, answering, by_region),
-        "to be borne": f"{meant.machines} machines, {meant.zones} zones, {meant.regions} regions",
+        "to be borne": f"{tolerance.machines} machines, {tolerance.zones} zones, {tolerance.regions} regions",
     }
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -145,7 +145,7 @@
         # Its duties run out: what it still does under them is told apart by the fence.
         await asyncio.sleep(core.registry.daemon.config.fence_max_age_s)
         daemon = core.registry.daemon
-        assert all(daemon.duties.hold(slot) is None for slot in range(64))
+        assert all(daemon.duties.ownership(slot) is None for slot in range(64))
 
     _run(tmp_path, work)
 
@@ -248,12 +248,12 @@
     """Acknowledged by one that nobody else hears, an endpoint is taken for gone by all others."""
     if not guarded:
 
-        async def beat(self: heartbeats.Heartbeats, raw: typing.Any) -> typing.Any:
+        async def handle(self: heartbeats.Heartbeats, raw: typing.Any) -> typing.Any:
             told = endpoints.read_heartbeat(raw)
             assert isinstance(told, outcome.Success)
             return self._parts.endpoints.record_heartbeat(told.value)
 
-        monkeypatch.setattr(heartbeats.Heartbeats, "beat", beat)
+        monkeypatch.setattr(heartbeats.Heartbeats, "handle", handle)
 
     async def work(fleet: fleets.SimFleet) -> None:
         core = fleet.cores[0]
@@ -288,7 +288,7 @@
 ) -> None:
     """Without a majority nobody is taken for gone: silence may be ours."""
     if not guarded:
-        monkeypatch.setattr(upkeeps.Upkeep, "_may_judge", lambda self: True)
+        monkeypatch.setattr(upkeeps.Upkeep, "_may_expire", lambda self: True)
 
     async def work(fleet: fleets.SimFleet) -> None:
         for core in fleet.cores[1:]:
--- a/tests/test_fleet_queries.py
+++ b/tests/test_fleet_queries.py
@@ -26,7 +26,7 @@
         async def nothing(self: queries.Queries) -> None:
             return None
 
-        monkeypatch.setattr(queries.Queries, "_hear_of_proxies", nothing)
+        monkeypatch.setattr(queries.Queries, "_merge_proxies", nothing)
 
     async def main() -> list[int]:
         fleet = fleets.SimFleet(SMALL, 7, tmp_path)
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -63,9 +63,9 @@
     result = endpoints.read_heartbeat(raw)
     if isinstance(result, outcome.Success):
         beat = result.value
-        assert 0 < len(beat.name) <= endpoints.NAME_MOST
+        assert 0 < len(beat.name) <= endpoints.MAX_NAME_LENGTH
         assert 0 <= beat.load < 1e9
-        assert endpoints.INTERVAL_LEAST <= beat.interval_s <= 60
+        assert endpoints.MIN_INTERVAL_S <= beat.interval_s <= 60
     else:
         assert result.code.tag == "bad_beat"
         json.dumps(result.page()).encode()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -178,7 +178,7 @@
 
 def _lends_at_once(patch: pytest.MonkeyPatch) -> None:
     # Neither waiting for what the lender before lent, nor counting it as out.
-    patch.setattr(lenders.Lender, "_waits", lambda self, hold: 0.0)
+    patch.setattr(lenders.Lender, "_takeover_wait_s", lambda self, ownership: 0.0)
 
 
 def _no_pauses(patch: pytest.MonkeyPatch) -> None:
@@ -208,7 +208,7 @@
             await asyncio.sleep(self._config.sweep_interval_s)
 
     patch.setattr(publishers.Publisher, "read_documents", read)
-    patch.setattr(upkeeps.Upkeep, "_keep_reading", keep)
+    patch.setattr(upkeeps.Upkeep, "_read_documents_loop", keep)
     patch.setattr(documents.Documents, "catch_up", caught_up)
 
 
@@ -288,7 +288,7 @@
 
 
 def _keeps_heartbeats_to_itself(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(standing.Standing, "has_majority", lambda self: True)
+    patch.setattr(standing.Readiness, "has_majority", lambda self: True)
 
 
 GUARDS: typing.Final[list[tuple[Wreck, str, str]]] = [
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -383,7 +383,7 @@
 
 
 def _lends_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(lenders.Lender, "_waits", lambda self, hold: 0.0)
+    patch.setattr(lenders.Lender, "_takeover_wait_s", lambda self, ownership: 0.0)
 
 
 def _sure_for_ever(patch: pytest.MonkeyPatch) -> None:
@@ -414,13 +414,13 @@
 
 
 def _shrinks_are_free_at_once(patch: pytest.MonkeyPatch) -> None:
-    put = lenders.Account.put
+    put = lenders.Account.record_loan
 
     def only(self: lenders.Account, coins: int, until: float) -> None:
-        self.outs = []
+        self.debts = []
         put(self, coins, until)
 
-    patch.setattr(lenders.Account, "put", only)
+    patch.setattr(lenders.Account, "record_loan", only)
 
 
 DAYS: typing.Final[list[tuple[Wreck, list[Event]]]] = [
@@ -465,9 +465,9 @@
     """Duties that are ours, under a fence that a test moves."""
 
     def __init__(self, fence: int, since: float) -> None:
-        self.now: duties.Hold | None = duties.Hold(fence, since, since)
+        self.now: duties.Ownership | None = duties.Ownership(fence, since, since)
 
-    def hold(self, slot: int) -> duties.Hold | None:
+    def ownership(self, slot: int) -> duties.Ownership | None:
         return self.now
 
 
@@ -494,31 +494,31 @@
         self, who: str, want: int, lent: int = 0, bound: int | None = None, turn: int | None = None
     ) -> int:
         self._turns[who] = self._turns.get(who, 0) + 1 if turn is None else turn
-        ask = lenders.Ask(SERVICE, 0, want, lent, lent if bound is None else bound)
-        said = self.lender._loan(who, self._turns[who], ask)
+        ask = lenders.LoanRequest(SERVICE, 0, want, lent, lent if bound is None else bound)
+        said = self.lender._grant(who, self._turns[who], ask)
         return said[0] if said else -1
 
 
 def test_quiet_ones_leave_some_for_who_needs_it() -> None:
     desk = _Desk()
     # Seven coins in this third: five may lie with those that have no need of them.
-    assert [desk.ask(f"p{n}", lenders.QUIET) for n in range(4)] == [3, 2, 0, 0]
+    assert [desk.ask(f"p{n}", lenders.WANT_RESERVE) for n in range(4)] == [3, 2, 0, 0]
     assert desk.ask("pressed", 9) == 1
     assert desk.ask("pressed", 9, lent=1) == 2
     assert desk.ask("pressed", 9, lent=2) == 2
     # A second one is short of its share: the quiet one is left with one coin at its next ask.
     assert desk.ask("short", 9) == 0
-    assert desk.ask("p0", lenders.QUIET, lent=3) == 1
+    assert desk.ask("p0", lenders.WANT_RESERVE, lent=3) == 1
     # Only once it says so itself is what it had free: the answer may have been lost.
     assert desk.ask("short", 9) == 0
-    assert desk.ask("p0", lenders.QUIET, lent=1) == 1
+    assert desk.ask("p0", lenders.WANT_RESERVE, lent=1) == 1
     assert desk.ask("short", 9) == 2
 
 
 def test_what_is_given_back_is_free_at_once_but_for_what_was_spent() -> None:
     desk = _Desk()
     assert desk.ask("a", 9) == 4
-    assert desk.ask("a", lenders.NOTHING, lent=0, bound=1) == 0
+    assert desk.ask("a", lenders.WANT_NONE, lent=0, bound=1) == 0
     assert desk.ask("b", 9) == 3
     assert desk.ask("b", 9, lent=3) == 5
     assert desk.ask("b", 9, lent=5) == 6
@@ -553,7 +553,7 @@
 def test_a_lender_that_lost_its_slot_between_forgets_its_book() -> None:
     desk = _Desk()
     assert desk.ask("a", 9) == 4
-    desk.duty.now = duties.Hold(3, desk.time.at, desk.time.at)
+    desk.duty.now = duties.Ownership(3, desk.time.at, desk.time.at)
     assert desk.ask("b", 9) == 0
     assert desk.ask("a", 9, lent=4) == 4
     desk.duty.now = None
@@ -574,7 +574,7 @@
 )
 def test_an_ask_that_is_none_is_refused(raw: object) -> None:
     with pytest.raises(ValueError):
-        lenders.read_ask(raw)
+        lenders.read_loan_request(raw)
 
 
 def test_a_lender_that_is_forgotten_before_it_is_asked_ends_nothing(tmp_path: pathlib.Path) -> None:
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -78,7 +78,7 @@
         async def at_once(self: typing.Any, name: str, told: typing.Any) -> typing.Any:
             return told
 
-        monkeypatch.setattr(heartbeats.Heartbeats, "_leaving_held", at_once)
+        monkeypatch.setattr(heartbeats.Heartbeats, "_acknowledge_leaving", at_once)
 
     async def work(fleet: fleets.SimFleet) -> None:
         core = fleet.cores[0]
@@ -132,7 +132,7 @@
         async def nothing(self: upkeeps.Upkeep) -> bool:
             return True
 
-        monkeypatch.setattr(upkeeps.Upkeep, "_recall", nothing)
+        monkeypatch.setattr(upkeeps.Upkeep, "_restore_table", nothing)
 
     async def work(fleet: fleets.SimFleet) -> None:
         await asyncio.sleep(2.0)
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -329,9 +329,9 @@
                 return await install(self, members)
             state = self.states.get(gone)
             if state is not None and state.members.epoch < members.epoch:
-                await self._tell(state, messages.Install(members, gone))
+                await self._send(state, messages.Install(members, gone))
                 self.states[gone] = state.holding(members)
-            return self._holding(members.epoch)
+            return self._disks_at_epoch(members.epoch)
 
         monkeypatch.setattr(reconfiguration, "_install", one_sided)
         leaver.store.daemon.voter.leaving = True
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -436,8 +436,8 @@
         seating, other = _seating(bench, "slow", slow), _seating(bench, "fast", fast)
         joint = register.MemberSet(2, (every[:3], every[1:]))
         for one in (seating, other):
-            await one._look(bench.addresses)
-        assert await other._move(register.MemberSet(1, (every[:3],)), joint)
+            await one._poll_stores(bench.addresses)
+        assert await other._commit(register.MemberSet(1, (every[:3],)), joint)
         for one, proposer in ((other, fast), (seating, slow)):
             proposer.quorum.adopt(joint)
             await one._install(joint)
@@ -447,7 +447,7 @@
             await other._finish()
             assert fast.members.epoch == 3
             back = register.MemberSet(4, (every[1:], every[:3]))
-            assert await other._move(fast.members, back)
+            assert await other._commit(fast.members, back)
             slow.quorum.adopt(back)
             return await keys()
 
