--- a/packages/registry/src/dykeswitch/registry/duties.py
+++ b/packages/registry/src/dykeswitch/registry/duties.py
@@ -116,7 +116,7 @@
         self._operation_count += 1
         op = f"{self._owner}/duty/{self._operation_count}"
         read_started_at = self._clock.now()
-        seen = {slot: fence for slot, (_, fence) in self.owners().items()}
+        published = {slot: fence for slot, (_, fence) in self.owners().items()}
 
         def step(current: register.Value) -> register.Value | outcome.Failure:
             if current.version_of(op) is not None:
@@ -126,7 +126,7 @@
                 owner, fence = table.get(slot, ["", 0])
                 if owner == known_owner:
                     # Higher than any fence still on the timeline, also after the register was founded again.
-                    table[slot] = [self._owner, max(fence, seen.get(slot, 0)) + 1]
+                    table[slot] = [self._owner, max(fence, published.get(slot, 0)) + 1]
             return current.successor(cbor2.dumps(table), op)
 
         result = await self._proposer.change(KEY, step)
--- a/packages/registry/src/dykeswitch/registry/endpoints.py
+++ b/packages/registry/src/dykeswitch/registry/endpoints.py
@@ -219,7 +219,7 @@
                 rows.append({**kept, "id": entry.key})
         return rows
 
-    def remember(self, table: typing.Iterable[timelines.Fields]) -> int:
+    def restore(self, table: typing.Iterable[timelines.Fields]) -> int:
         """Restore saved endpoints that are not known yet, for one and a half heartbeat intervals.
 
         Some of them may have left since the table was saved. That is safe: a request names its
--- a/packages/registry/src/dykeswitch/registry/member_calls.py
+++ b/packages/registry/src/dykeswitch/registry/member_calls.py
@@ -32,13 +32,13 @@
         """Call all other registries; returns the replies that arrive in time."""
         parts = self._parts
         addresses = list(parts.gossip.cores().values())
-        found = await asyncio.gather(
+        results = await asyncio.gather(
             *(
                 parts.call_client.call(address, kind, body, parts.config.call_timeout_s)
                 for address in addresses
             )
         )
-        return [result.value for result in found if isinstance(result, outcome.Success)]
+        return [result.value for result in results if isinstance(result, outcome.Success)]
 
     async def _on_confirm(self, body: frames.Body) -> frames.Result:
         """Report what a majority stores now, rather than what this registry read earlier."""
--- a/packages/registry/src/dykeswitch/registry/pages.py
+++ b/packages/registry/src/dykeswitch/registry/pages.py
@@ -48,7 +48,7 @@
 
     def endpoints(self) -> Document:
         """Every endpoint with what it reported about itself, and its mark."""
-        found = []
+        rows = []
         for entry in self._endpoint_entries():
             mark = self._parts.marks.mark_of(entry.key)
             page: Document = {"id": entry.key}
@@ -56,8 +56,8 @@
             if mark is not None:
                 page["down"] = {"reason": mark.fields["reason"], "by": mark.fields["by"]}
                 page["down"]["left_s"] = round(mark.expiry - self._parts.clock.now(), 2)
-            found.append(page)
-        return {"endpoints": found}
+            rows.append(page)
+        return {"endpoints": rows}
 
     def members(self) -> Document:
         """The cores, the proxies, the voting stores, and the owner of each slot."""
--- a/packages/registry/src/dykeswitch/registry/program.py
+++ b/packages/registry/src/dykeswitch/registry/program.py
@@ -72,8 +72,8 @@
 
     async def newest_layout(self) -> outcome.Success[bytes] | outcome.Failure:
         """Read the newest layout from a majority, in the form in which it was sent."""
-        found = await self.orders.newest()
-        return found if isinstance(found, outcome.Failure) else outcome.Success(found.value.body)
+        result = await self.orders.newest()
+        return result if isinstance(result, outcome.Failure) else outcome.Success(result.value.body)
 
     def ready(self) -> str | None:
         """The reason why this registry is not ready, or None if it is."""
--- a/packages/registry/src/dykeswitch/registry/reconfiguration.py
+++ b/packages/registry/src/dykeswitch/registry/reconfiguration.py
@@ -103,8 +103,8 @@
         voters = self._proposer.members.disks()
         staying = [state for state in self.states.values() if not state.leaving]
         has_vote_at = {state.address: state.disk in voters for state in staying}
-        found = [name for name in live if stores.get(name, "") in has_vote_at]
-        return [name for name in found if has_vote_at[stores[name]]] or found or live
+        candidates = [name for name in live if stores.get(name, "") in has_vote_at]
+        return [name for name in candidates if has_vote_at[stores[name]]] or candidates or live
 
     async def _poll_stores(self, addresses: typing.Collection[str]) -> None:
         known = {self._proposer.quorum.addresses.get(d, s) for d, s in self._proposer.members.disks().items()}
@@ -145,11 +145,11 @@
         by_address = {state.address: state for state in self.states.values()}
         if not founders or any(address not in by_address for address in founders):
             return
-        found = [by_address[address] for address in founders]
-        if not all(state.blank for state in found):
+        founder_states = [by_address[address] for address in founders]
+        if not all(state.blank for state in founder_states):
             return
         # If none of the founders is eligible, all of them vote, since somebody must.
-        voting = [state for state in found if state.site.eligible] or found
+        voting = [state for state in founder_states if state.site.eligible] or founder_states
         founding_set = register.MemberSet(
             1, (tuple(sorted((state.disk, state.address) for state in voting)),)
         )
@@ -159,7 +159,7 @@
         self._proposer.quorum.adopt(founding_set)
 
     async def _install(self, members: register.MemberSet) -> set[str]:
-        """Install a committed set at the stores known to have an older one; returns the disks that have it."""
+        """Install a committed set at stores known to have an older one; returns the disks that have it."""
         outdated = [
             state
             for _, state in sorted(self.states.items())
--- a/packages/registry/src/dykeswitch/registry/upkeep.py
+++ b/packages/registry/src/dykeswitch/registry/upkeep.py
@@ -130,7 +130,7 @@
         if isinstance(result, outcome.Failure):
             return False
         if result.value.body:
-            restored = self._parts.endpoints.remember(cbor2.loads(result.value.body))
+            restored = self._parts.endpoints.restore(cbor2.loads(result.value.body))
             self._parts.log.info("endpoints restored", endpoints=restored)
         return True
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""Control traffic: what a proxy spends on it, and that news reaches it by the cores it polls."""
+"""Control traffic: its cost for a proxy, and that changes reach a proxy through the cores it polls."""
 
 import asyncio
 import collections
@@ -24,25 +24,25 @@
 BOUNDS: typing.Final[dict[str, typing.Any]] = {"cores_lost": 2}
 DRAIN_S: typing.Final = 2.0
 IN_FORCE_S: typing.Final = 2.0
-# How long an order may take with all cores there: a part of what its operator waits.
+# How long an order may take while all cores are up: a fraction of its operator's timeout.
 ACKNOWLEDGED_S: typing.Final = 0.3
 MANY_RULES: typing.Final = 500
-# How long a fleet runs before it is looked at, and how long a cut lasts.
+# How long a fleet runs before it is checked, and how long a cut lasts.
 SETTLED_S: typing.Final = 12.0
 CUT_S: typing.Final = 20.0
-# Within which time cores that were cut off and the others are one again.
+# Within what time cores that were cut off rejoin the others.
 REJOINED_S: typing.Final = 6.0
-# A storm: so many marks a second, for so long.
+# A storm of marks: its rate and its duration.
 MARKS_A_SECOND: typing.Final = 20
 STORM_S: typing.Final = 5.0
 
 Work = typing.Callable[[fleets.SimFleet], typing.Awaitable[None]]
 
 
-def _run(scratch: pathlib.Path, work: Work, many: int = 4) -> None:
+def _run(folder: pathlib.Path, work: Work, proxy_count: int = 4) -> None:
     async def main() -> None:
-        shape = shapes.Shape("control", many, 5, ZONES, (SERVICE,))
-        fleet = fleets.SimFleet(shape, 7, scratch, bounds=BOUNDS)
+        shape = shapes.Shape("control", proxy_count, 5, ZONES, (SERVICE,))
+        fleet = fleets.SimFleet(shape, 7, folder, bounds=BOUNDS)
         await fleet.start()
         await asyncio.sleep(SETTLED_S)
         await work(fleet)
@@ -54,13 +54,13 @@
     return [edge.node.daemon for edge in fleet.edges]
 
 
-def _spent(fleet: fleets.SimFleet) -> collections.Counter[str]:
-    """Calls and bytes of all proxies together."""
-    spent: collections.Counter[str] = collections.Counter()
+def _control_traffic(fleet: fleets.SimFleet) -> collections.Counter[str]:
+    """Control calls and bytes of all proxies together."""
+    counts: collections.Counter[str] = collections.Counter()
     for proxy in _proxies(fleet):
         for name, count in proxy.meter.counts.items():
-            spent["calls" if name.endswith("_calls") else "bytes"] += count
-    return spent
+            counts["calls" if name.endswith("_calls") else "bytes"] += count
+    return counts
 
 
 def _mark(proxy: proxies.Proxy, endpoint: str) -> None:
@@ -84,7 +84,7 @@
 
 
 async def _leave_at(fleet: fleets.SimFleet, core: machines.Core, name: str) -> bool:
-    """An endpoint tells one core that it leaves; whether that was acknowledged."""
+    """Report to one core that an endpoint leaves; returns whether it was acknowledged."""
     result = await core.registry.daemon.heartbeat({"id": name, "leaving": True})
     return not hasattr(result, "code")
 
@@ -101,36 +101,36 @@
 
 
 def test_a_storm_of_marks_goes_into_few_calls(tmp_path: pathlib.Path) -> None:
-    """Each mark was told by every core to every proxy by itself."""
+    """Guards against a call for each mark from every core to every proxy."""
 
     async def work(fleet: fleets.SimFleet) -> None:
-        before = _spent(fleet)
-        all_of = _proxies(fleet)
+        before = _control_traffic(fleet)
+        all_proxies = _proxies(fleet)
         for turn in range(round(MARKS_A_SECOND * STORM_S)):
-            _mark(all_of[turn % len(all_of)], f"pages-{turn}")
+            _mark(all_proxies[turn % len(all_proxies)], f"pages-{turn}")
             await asyncio.sleep(1 / MARKS_A_SECOND)
-        calls = (_spent(fleet) - before)["calls"] / len(all_of) / STORM_S
+        calls = (_control_traffic(fleet) - before)["calls"] / len(all_proxies) / STORM_S
         assert calls < MARKS_A_SECOND
 
     _run(tmp_path, work)
 
 
 def test_a_storm_costs_a_proxy_the_same_in_a_larger_fleet(tmp_path: pathlib.Path) -> None:
-    found: dict[int, float] = {}
-    for many in (8, 32):
+    bytes_each: dict[int, float] = {}
+    for proxy_count in (8, 32):
 
-        async def work(fleet: fleets.SimFleet, many: int = many) -> None:
-            before = _spent(fleet)
-            all_of = _proxies(fleet)
+        async def work(fleet: fleets.SimFleet, proxy_count: int = proxy_count) -> None:
+            before = _control_traffic(fleet)
+            all_proxies = _proxies(fleet)
             for turn in range(round(MARKS_A_SECOND * STORM_S)):
-                _mark(all_of[turn % len(all_of)], f"pages-{turn}")
+                _mark(all_proxies[turn % len(all_proxies)], f"pages-{turn}")
                 await asyncio.sleep(1 / MARKS_A_SECOND)
-            found[many] = (_spent(fleet) - before)["bytes"] / len(all_of)
+            bytes_each[proxy_count] = (_control_traffic(fleet) - before)["bytes"] / len(all_proxies)
 
-        folder = tmp_path / str(many)
+        folder = tmp_path / str(proxy_count)
         folder.mkdir()
-        _run(folder, work, many)
-    assert found[32] < found[8] * 1.2
+        _run(folder, work, proxy_count)
+    assert bytes_each[32] < bytes_each[8] * 1.2
 
 
 def test_a_mark_reaches_every_proxy_soon(tmp_path: pathlib.Path) -> None:
@@ -149,7 +149,7 @@
 def test_two_cores_lost_right_after_an_acknowledgement_hide_nothing(
     first: int, loss: str, tmp_path: pathlib.Path
 ) -> None:
-    """Whichever two are lost, a drain and a layout that one of them acknowledged are in force in time."""
+    """A drain and a layout that a lost core acknowledged take effect in time, whichever two are lost."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         lost = [fleet.cores[first], fleet.cores[(first + 1) % 5]]
@@ -163,9 +163,11 @@
             elif loss == "freeze":
                 node.freeze()
         if loss == "cut":
-            # They and the proxies go on hearing each other: nothing tells a proxy but what they say.
-            ones = [name for core in lost for name in core.names()]
-            fleet.world.links.cut(ones, [n for core in fleet.cores if core not in lost for n in core.names()])
+            # They still reach the proxies, which can learn of the cut only from what they report.
+            lost_names = [name for core in lost for name in core.names()]
+            fleet.world.links.cut(
+                lost_names, [n for core in fleet.cores if core not in lost for n in core.names()]
+            )
         await asyncio.sleep(left_at + DRAIN_S - fleet.clock.now())
         assert _all_know_left(fleet, "pages-0")
         await asyncio.sleep(max(0.0, put.ended_at + IN_FORCE_S - fleet.clock.now()))
@@ -176,13 +178,13 @@
 
 @pytest.mark.parametrize("first", range(5))
 def test_two_cores_cut_off_from_the_others_hold_no_proxy_back(first: int, tmp_path: pathlib.Path) -> None:
-    """Those that polled them learn of drains and layouts from the majority, all the time of the cut."""
+    """Proxies that polled them learn of drains and layouts from the majority throughout the cut."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         lost = [fleet.cores[first], fleet.cores[(first + 2) % 5]]
         rest = [core for core in fleet.cores if core not in lost]
-        ones = [name for core in lost for name in core.names()]
-        fleet.world.links.cut(ones, [name for core in rest for name in core.names()])
+        lost_names = [name for core in lost for name in core.names()]
+        fleet.world.links.cut(lost_names, [name for core in rest for name in core.names()])
         end = fleet.clock.now() + CUT_S
         turn = 0
         while fleet.clock.now() < end:
@@ -196,7 +198,7 @@
             await asyncio.sleep(IN_FORCE_S)
             assert _all_hold_layout(fleet, put.version)
             assert turn >= SERVICE.endpoints or _all_know_left(fleet, name)
-        # And none goes by the word of those that are cut off any more.
+        # And no proxy relies on the cores that are cut off any more.
         cut_off = {core.member for core in lost}
         for proxy in _proxies(fleet):
             assert not cut_off & set(proxy.gossip.polled())
@@ -210,14 +212,14 @@
 
 
 def test_a_proxy_is_ready_all_the_time_while_nothing_happens(tmp_path: pathlib.Path) -> None:
-    """Polls that end together left it without a word for as long as makes it seem cut off."""
+    """Guards against polls that end together, after which a proxy heard nothing and seemed cut off."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         end = fleet.clock.now() + 10.0
         unready = 0
         while fleet.clock.now() < end:
             unready += sum(proxy.ready() is not None for proxy in _proxies(fleet))
-            # One piece of news to all has all polls begin anew at the same moment.
+            # A change that goes to all proxies makes all polls start again at the same moment.
             if int(fleet.clock.now() * 100) % 300 == 0:
                 _mark(_proxies(fleet)[0], f"pages-{fleet.clock.now()}")
             await asyncio.sleep(0.01)
@@ -227,14 +229,14 @@
 
 
 def test_cores_that_were_cut_off_for_long_find_the_others_again(tmp_path: pathlib.Path) -> None:
-    """Two of five had forgotten the others and been forgotten: both sides stayed apart for good."""
+    """Guards against a permanent split after two of five cores and the others forgot each other."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         lost, rest = fleet.cores[1::2], fleet.cores[::2]
-        ones = [name for core in lost for name in core.names()]
-        fleet.world.links.cut(ones, [name for core in rest for name in core.names()])
+        lost_names = [name for core in lost for name in core.names()]
+        fleet.world.links.cut(lost_names, [name for core in rest for name in core.names()])
         await asyncio.sleep(CUT_S)
-        # What the majority decided meanwhile, the others learn too.
+        # The cores that were cut off also learn what the majority decided in the meantime.
         assert await _leave_at(fleet, rest[0], "pages-0")
         fleet.world.links.heal()
         await asyncio.sleep(REJOINED_S)
@@ -248,31 +250,31 @@
 
 
 def test_a_layout_goes_to_each_zone_once_and_packed(tmp_path: pathlib.Path) -> None:
-    """Each proxy fetched it whole from whoever had it first, in whichever zone that was."""
+    """Guards against each proxy fetching it uncompressed from the first core that has it, in any zone."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         layout = fleet.shape.layout()
         for n in range(MANY_RULES):
             layout["rules"].append({**layout["rules"][0], "name": f"more-{n}", "path": f"/more-{n}"})
         crossed = fleet.world.links.crossed
-        edges = [edge.node.name for edge in fleet.edges]
+        proxy_names = [edge.node.name for edge in fleet.edges]
 
-        def to_edges() -> int:
-            return sum(size for (_, to), size in crossed.items() if to in edges)
+        def bytes_to_proxies() -> int:
+            return sum(size for (_, to), size in crossed.items() if to in proxy_names)
 
-        before = to_edges()
+        before = bytes_to_proxies()
         put = await fleet.put(layout, fleet.cores[0])
         assert put.status == 200
         await asyncio.sleep(1.0)
         assert _all_hold_layout(fleet, put.version)
-        # The rest is polls.
-        assert to_edges() - before < len(put.body) / 2
+        # Half is left for polls.
+        assert bytes_to_proxies() - before < len(put.body) / 2
 
-    _run(tmp_path, work, many=16)
+    _run(tmp_path, work, proxy_count=16)
 
 
 def test_an_order_is_acknowledged_soon_whichever_core_takes_it(tmp_path: pathlib.Path) -> None:
-    """Proxies of other zones are handed it by other cores, which tell the one that waits for that."""
+    """Other cores deliver it to the proxies of their zones, and report that to the core that waits."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         for turn, core in enumerate(fleet.cores):
@@ -297,27 +299,27 @@
 ) -> None:
     async def work(fleet: fleets.SimFleet) -> None:
         proxy = _proxies(fleet)[0]
-        held = proxy.documents.version(documents.LAYOUT)
+        version_before = proxy.documents.version(documents.LAYOUT)
         await proxy.documents.apply_reply(documents.LAYOUT, reply)
-        assert proxy.documents.version(documents.LAYOUT) == held
+        assert proxy.documents.version(documents.LAYOUT) == version_before
 
     _run(tmp_path, work)
 
 
 def test_to_be_sure_again_a_proxy_is_not_told_the_whole_timeline(tmp_path: pathlib.Path) -> None:
-    """Each core told it all of every endpoint, proxy and mark: at a slow proxy this made the next gap."""
+    """Guards against cores that send the whole timeline, which made a slow proxy fall behind again."""
 
     async def work(fleet: fleets.SimFleet) -> None:
         proxy = _proxies(fleet)[0]
         for address in proxy.gossip.polled():
-            ask = {"cursor": proxy.gossip.position(address)}
-            result = await proxy.call_client.call(address, "confirm", ask, proxy.config.call_timeout_s)
+            request = {"cursor": proxy.gossip.position(address)}
+            result = await proxy.call_client.call(address, "confirm", request, proxy.config.call_timeout_s)
             assert isinstance(result, outcome.Success)
             assert len(result.value["items"]) < len(fleet.cores)
-        # One that knows nothing of a core is told all, but for what proxies say of themselves.
-        unknown = {"cursor": ["", 0]}
+        # A proxy without a position at a core gets all entries except those of proxies.
+        no_position = {"cursor": ["", 0]}
         result = await proxy.call_client.call(
-            proxy.gossip.polled()[0], "confirm", unknown, proxy.config.call_timeout_s
+            proxy.gossip.polled()[0], "confirm", no_position, proxy.config.call_timeout_s
         )
         assert isinstance(result, outcome.Success)
         kinds = {item[0] for item in result.value["items"]}
--- a/tests/test_fleet_queries.py
+++ b/tests/test_fleet_queries.py
@@ -1,4 +1,4 @@
-"""What any registry tells of the fleet, whichever registries the proxies poll."""
+"""Queries about the fleet: every registry knows all proxies, whichever registries those poll."""
 
 import asyncio
 import pathlib
@@ -13,7 +13,7 @@
 
 PAGES: typing.Final = shapes.ServiceShape("pages", 3, 20, "/pages", "GET", 0.05)
 SMALL: typing.Final = shapes.Shape("small", 5, 3, ("z1", "z2", "z3"), (PAGES,))
-# Longer than what a proxy says of itself lasts where it is not said again.
+# Longer than the entry of a proxy lasts without being renewed.
 WAIT_S: typing.Final = 14.0
 
 
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -1,4 +1,4 @@
-"""What outlasts the loss of a core, or of all machines at once, in a small simulated fleet."""
+"""What survives the loss of a core, or of all machines at once, in a small simulated fleet."""
 
 import asyncio
 import json
@@ -22,12 +22,12 @@
 
 
 def _run(
-    scratch: pathlib.Path,
+    folder: pathlib.Path,
     work: typing.Callable[[fleets.SimFleet], typing.Awaitable[None]],
     bounds: dict[str, typing.Any] | None = None,
 ) -> None:
     async def main() -> None:
-        fleet = fleets.SimFleet(SMALL, 7, scratch, bounds=bounds)
+        fleet = fleets.SimFleet(SMALL, 7, folder, bounds=bounds)
         await fleet.start()
         await work(fleet)
 
@@ -44,17 +44,17 @@
     async def work(fleet: fleets.SimFleet) -> None:
         first = await fleet.put(_numbered(7, "/seven"), fleet.cores[0])
         assert first.status == 200
-        # The same again, and an older one: acknowledged, and nothing changes.
+        # The same layout again, and an older one, are acknowledged without any change.
         for doc in (_numbered(7, "/seven"), _numbered(3, "/three")):
             again = await fleet.put(doc, fleet.cores[1])
             assert (again.status, again.version) == (200, first.version)
-        # Another of the same number, or of one acknowledged as older: never confirmed as well.
+        # A different layout under the same number, or under the superseded one, is never confirmed.
         for doc in (_numbered(7, "/other"), _numbered(3, "/other")):
             for core in fleet.cores:
                 assert (await fleet.put(doc, core)).status == 409
         got = await fleet.get(fleet.cores[2])
         assert json.loads(got.body) == _numbered(7, "/seven")
-        # One without a number can't be set in order with them.
+        # A layout without a number can't be ordered among numbered ones.
         assert (await fleet.put(SMALL.layout(), fleet.cores[0])).status == 412
         later = await fleet.put(_numbered(40, "/forty"), fleet.cores[2])
         assert later.status == 200 and later.version > first.version
@@ -64,26 +64,26 @@
 
 async def _leave(fleet: fleets.SimFleet, name: str, core: machines.Core) -> int:
     body = json.dumps({"id": name, "leaving": True}).encode()
-    reply = await fleet.outside.web.request("POST", core.web, "/v1/beat", [], body, 2.0)
-    return reply.status
+    response = await fleet.outside.web.request("POST", core.web, "/v1/beat", [], body, 2.0)
+    return response.status
 
 
 @pytest.mark.parametrize("guarded", [True, False])
 def test_a_core_that_goes_dark_with_its_word_does_not_take_a_leaving_along(
     guarded: bool, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Acknowledged, and dark the same moment: the others know; without the guard they do not."""
+    """Guards against the loss of a leaving if the core fails right after acknowledging it."""
     if not guarded:
 
-        async def at_once(self: typing.Any, name: str, told: typing.Any) -> typing.Any:
-            return told
+        async def at_once(self: typing.Any, name: str, acknowledgement: typing.Any) -> typing.Any:
+            return acknowledgement
 
         monkeypatch.setattr(heartbeats.Heartbeats, "_acknowledge_leaving", at_once)
 
     async def work(fleet: fleets.SimFleet) -> None:
         core = fleet.cores[0]
         fleet.endpoints["pages-0"].beating = False
-        # Its words to others are lost from now on; its callers still reach it.
+        # From now on its calls to others are lost, while clients still reach it.
         if not guarded:
             names = [n for n in fleet.world.nodes if n != core.registry.name]
             fleet.world.links.cut([core.registry.name], names)
@@ -109,7 +109,7 @@
     _run(tmp_path, work)
 
 
-async def _dark(fleet: fleets.SimFleet) -> None:
+async def _restart_all(fleet: fleets.SimFleet) -> None:
     for core in fleet.cores:
         core.registry.lose_power()
         core.store.lose_power()
@@ -138,13 +138,13 @@
         await asyncio.sleep(2.0)
         for endpoint in fleet.endpoints.values():
             endpoint.beating = False
-        # The last beats arrive before the power goes.
+        # The last heartbeats arrive before the power loss.
         await asyncio.sleep(1.2)
-        await _dark(fleet)
+        await _restart_all(fleet)
         await asyncio.sleep(1.0)
         known = [len(edge.node.daemon.carrier.selector.up("pages")) for edge in fleet.edges]
         assert (known == [3, 3]) is guarded
-        # Who does not beat is forgotten again.
+        # Endpoints that send no heartbeat expire again.
         await asyncio.sleep(2.0)
         assert [len(edge.node.daemon.carrier.selector.up("pages")) for edge in fleet.edges] == [0, 0]
 
@@ -156,13 +156,13 @@
         timeline = timelines.Timeline("r", _Clock(), 900.0)
         fields: timelines.Fields = {"service": "s", "address": "10.0.0.1:1", "state": "up", "born": [0, "r"]}
         timeline.write(timelines.ENDPOINT, "a", {**fields, "remembered": True}, 2.0, urgent=False)
-        # A beat that another registry heard, with a lower count than ours.
+        # A heartbeat that another registry recorded, with a lower sequence number than ours.
         assert timeline.merge([["endpoint", "a", 1, "b", {**fields, "zone": "z"}, 50.0]]) == 1
-        held = timeline.get(timelines.ENDPOINT, "a")
-        assert held is not None and "remembered" not in held.fields
+        entry = timeline.get(timelines.ENDPOINT, "a")
+        assert entry is not None and "remembered" not in entry.fields
         timeline.write(timelines.ENDPOINT, "a", {**fields, "remembered": True}, 2.0, urgent=False)
-        held = timeline.get(timelines.ENDPOINT, "a")
-        assert held is not None and "remembered" not in held.fields
+        entry = timeline.get(timelines.ENDPOINT, "a")
+        assert entry is not None and "remembered" not in entry.fields
 
     asyncio.run(main())
 
@@ -182,14 +182,14 @@
 def test_an_empty_disk_at_a_seated_ones_address_is_seated_without_a_wait(
     guarded: bool, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The old disk can't come back where another answers: waiting would only be longer at risk."""
-    took: list[float] = []
+    """The old disk can't come back where another one answers: waiting would only prolong the risk."""
+    durations_s: list[float] = []
     if not guarded:
 
-        def silent_long(self: reconfigurations.Reconfiguration, members: register.MemberSet) -> list[str]:
+        def long_silent(self: reconfigurations.Reconfiguration, members: register.MemberSet) -> list[str]:
             return [d for d in members.disks() if self.silent_s(d) >= self._config.disk_replace_after_s]
 
-        monkeypatch.setattr(reconfigurations.Reconfiguration, "_lost", silent_long)
+        monkeypatch.setattr(reconfigurations.Reconfiguration, "_lost", long_silent)
 
     async def work(fleet: fleets.SimFleet) -> None:
         core = fleet.cores[2]
@@ -197,25 +197,25 @@
         core.store.wipe()
         core.store.restart()
 
-        def seated() -> bool:
+        def has_vote() -> bool:
             daemon = core.store.daemon
             return bool(
                 daemon is not None and daemon.voter.has_vote() and not daemon.voter.members.is_joint()
             )
 
-        took.append(await fleet.until(seated, 15, "the empty disk is seated"))
+        durations_s.append(await fleet.until(has_vote, 15, "the empty disk has a vote"))
 
-    # As long a silence as without a bound on repair: the guard's gain is to be seen.
+    # As long a silence as without a bound on repair, so that the effect of the guard is visible.
     _run(tmp_path, work, bounds={"catch_up_s": 12.0})
-    bound = 15.0 / 5
-    assert (took[0] < bound * 0.9) is guarded, took
+    limit_s = 15.0 / 5
+    assert (durations_s[0] < limit_s * 0.9) is guarded, durations_s
 
 
 @pytest.mark.parametrize("lost", [2, 1])
 def test_a_set_founded_by_three_grows_to_bear_the_loss_of_as_many_as_may_go(
     lost: int, tmp_path: pathlib.Path
 ) -> None:
-    """Five cores of which all are told three: with two lost of the three, the rest would be none."""
+    """Guards against the loss of the majority if two of the three founders among five cores fail."""
     shape = shapes.Shape("wide", 2, 5, ("z1", "z2"), (PAGES,))
 
     async def main() -> None:
