--- a/packages/registry/src/dykeswitch/registry/duties.py
+++ b/packages/registry/src/dykeswitch/registry/duties.py
@@ -108,8 +108,8 @@
             return [slot for slot in slots if names[slot] == self._name]
         # Another registry owns two parts and this one none: take one, unless a slot changed hands recently.
         unchanged_s = self._clock.now() - max(self._fence_changes.get(s, (0, -1e9))[1] for s in slots)
-        doubled = [s for s in slots if list(names.values()).count(names[s]) > 1]
-        return doubled[-1:] if unchanged_s > self._config.takeover_wait_s else []
+        surplus = [s for s in slots if list(names.values()).count(names[s]) > 1]
+        return surplus[-1:] if unchanged_s > self._config.takeover_wait_s else []
 
     async def _claim(self, slots: dict[int, str]) -> None:
         """Claim slots from their known owners; a slot that has another owner by now is left alone."""
--- a/packages/registry/src/dykeswitch/registry/order_rules.py
+++ b/packages/registry/src/dykeswitch/registry/order_rules.py
@@ -60,7 +60,7 @@
 def _with_current_layout(
     memory: order_memory.OrderMemory, current: register.Value, current_number: int | None
 ) -> order_memory.OrderMemory:
-    """The memory with the current layout added, in case that was written before there was a memory."""
+    """The memory with the current layout added, if that was stored before the register had a memory."""
     if current_number is None or memory.by_number.digest(current_number) is not None:
         return memory
     ledger = order_memory.Ledger(floor=max(0, current_number - 1))
--- a/packages/registry/src/dykeswitch/registry/reconfiguration.py
+++ b/packages/registry/src/dykeswitch/registry/reconfiguration.py
@@ -271,7 +271,8 @@
         """Go from the joint set to the new set alone, once all keys are written under the joint one."""
         joint = self._proposer.members
         installed = await self._install(joint)
-        # Until majorities of both groups have this set, and so refuse the older one, that may still be used.
+        # Until majorities of both groups have this set and refuse the older one, the older set may
+        # still be used.
         if not register.has_majorities(joint.groups, installed):
             return
         if not await self._rewrite_keys():
--- a/packages/registry/src/dykeswitch/registry/upkeep.py
+++ b/packages/registry/src/dykeswitch/registry/upkeep.py
@@ -175,7 +175,10 @@
             parts.log.warning("endpoint lapsed", endpoint=name)
 
     async def _report_heartbeats_loop(self) -> None:
-        """Report heard endpoints to the other registries, since each sends heartbeats to only one of them."""
+        """Report heard endpoints to the other registries.
+
+        An endpoint sends each heartbeat to one registry only, and must not seem silent to the rest.
+        """
         while True:
             names = self._parts.endpoints.recently_heard()
             if names:
