--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -388,7 +388,7 @@
 
 
 def _lends_at_once(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(lenders.Lender, "_waits", lambda self, hold: 0.0)
+    patch.setattr(lenders.Lender, "_takeover_wait_s", lambda self, ownership: 0.0)
 
 
 def _sure_for_ever(patch: pytest.MonkeyPatch) -> None:
@@ -421,13 +421,13 @@
 
 
 def _shrinks_are_free_at_once(patch: pytest.MonkeyPatch) -> None:
-    put = lenders.Account.put
+    put = lenders.Account.record_loan
 
     def put_alone(self: lenders.Account, coins: int, until: float) -> None:
-        self.outs = []
+        self.debts = []
         put(self, coins, until)
 
-    patch.setattr(lenders.Account, "put", put_alone)
+    patch.setattr(lenders.Account, "record_loan", put_alone)
 
 
 GUARDS: typing.Final[list[tuple[RemoveGuard, list[Event]]]] = [
@@ -472,9 +472,9 @@
     """Slots that are assigned to the lender, under a fence that the test sets."""
 
     def __init__(self, fence: int, since: float) -> None:
-        self.current: duties.Hold | None = duties.Hold(fence, since, since)
+        self.current: duties.Ownership | None = duties.Ownership(fence, since, since)
 
-    def hold(self, slot: int) -> duties.Hold | None:
+    def ownership(self, slot: int) -> duties.Ownership | None:
         return self.current
 
 
@@ -501,31 +501,31 @@
         self, borrower: str, want: int, lent: int = 0, bound: int | None = None, turn: int | None = None
     ) -> int:
         self._turns[borrower] = self._turns.get(borrower, 0) + 1 if turn is None else turn
-        request = lenders.Ask(SERVICE, 0, want, lent, lent if bound is None else bound)
-        reply = self.lender._loan(borrower, self._turns[borrower], request)
+        request = lenders.LoanRequest(SERVICE, 0, want, lent, lent if bound is None else bound)
+        reply = self.lender._grant(borrower, self._turns[borrower], request)
         return reply[0] if reply else -1
 
 
 def test_quiet_ones_leave_some_for_who_needs_it() -> None:
     harness = _LenderHarness()
     # This third of the floor has seven tokens. Borrowers that do not need any may have five of them.
-    assert [harness.ask(f"p{n}", lenders.QUIET) for n in range(4)] == [3, 2, 0, 0]
+    assert [harness.ask(f"p{n}", lenders.WANT_RESERVE) for n in range(4)] == [3, 2, 0, 0]
     assert harness.ask("pressed", 9) == 1
     assert harness.ask("pressed", 9, lent=1) == 2
     assert harness.ask("pressed", 9, lent=2) == 2
     # A second borrower gets less than its share, so the quiet one keeps one token at its next request.
     assert harness.ask("short", 9) == 0
-    assert harness.ask("p0", lenders.QUIET, lent=3) == 1
+    assert harness.ask("p0", lenders.WANT_RESERVE, lent=3) == 1
     # Its other tokens are free only once it confirms that, since the reply may have been lost.
     assert harness.ask("short", 9) == 0
-    assert harness.ask("p0", lenders.QUIET, lent=1) == 1
+    assert harness.ask("p0", lenders.WANT_RESERVE, lent=1) == 1
     assert harness.ask("short", 9) == 2
 
 
 def test_what_is_given_back_is_free_at_once_but_for_what_was_spent() -> None:
     harness = _LenderHarness()
     assert harness.ask("a", 9) == 4
-    assert harness.ask("a", lenders.NOTHING, lent=0, bound=1) == 0
+    assert harness.ask("a", lenders.WANT_NONE, lent=0, bound=1) == 0
     assert harness.ask("b", 9) == 3
     assert harness.ask("b", 9, lent=3) == 5
     assert harness.ask("b", 9, lent=5) == 6
@@ -560,7 +560,7 @@
 def test_a_lender_that_lost_its_slot_between_forgets_its_book() -> None:
     harness = _LenderHarness()
     assert harness.ask("a", 9) == 4
-    harness.duties.current = duties.Hold(3, harness.clock.now_s, harness.clock.now_s)
+    harness.duties.current = duties.Ownership(3, harness.clock.now_s, harness.clock.now_s)
     assert harness.ask("b", 9) == 0
     assert harness.ask("a", 9, lent=4) == 4
     harness.duties.current = None
@@ -581,7 +581,7 @@
 )
 def test_an_ask_that_is_none_is_refused(raw: object) -> None:
     with pytest.raises(ValueError):
-        lenders.read_ask(raw)
+        lenders.read_loan_request(raw)
 
 
 def test_a_lender_that_is_forgotten_before_it_is_asked_ends_nothing(tmp_path: pathlib.Path) -> None:
--- a/tests/test_reconfiguration.py
+++ b/tests/test_reconfiguration.py
@@ -333,9 +333,9 @@
                 return await install(self, members)
             state = self.states.get(old_disk)
             if state is not None and state.members.epoch < members.epoch:
-                await self._tell(state, messages.Install(members, old_disk))
+                await self._send(state, messages.Install(members, old_disk))
                 self.states[old_disk] = state.with_members(members)
-            return self._holding(members.epoch)
+            return self._disks_at_epoch(members.epoch)
 
         monkeypatch.setattr(reconfiguration, "_install", install_on_removed_disk)
         leaving_core.store.daemon.voter.leaving = True
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -438,8 +438,8 @@
         reconfiguration, other = _reconfiguration(bench, "slow", slow), _reconfiguration(bench, "fast", fast)
         joint = register.MemberSet(2, (all_disks[:3], all_disks[1:]))
         for one in (reconfiguration, other):
-            await one._look(bench.addresses)
-        assert await other._move(register.MemberSet(1, (all_disks[:3],)), joint)
+            await one._poll_stores(bench.addresses)
+        assert await other._commit(register.MemberSet(1, (all_disks[:3],)), joint)
         for one, proposer in ((other, fast), (reconfiguration, slow)):
             proposer.quorum.adopt(joint)
             await one._install(joint)
@@ -449,7 +449,7 @@
             await other._finish()
             assert fast.members.epoch == 3
             back = register.MemberSet(4, (all_disks[1:], all_disks[:3]))
-            assert await other._move(fast.members, back)
+            assert await other._commit(fast.members, back)
             slow.quorum.adopt(back)
             return await keys()
 
