--- a/packages/scale/src/dykeswitch/scale/__init__.py
+++ b/packages/scale/src/dykeswitch/scale/__init__.py
@@ -1,10 +1,14 @@
-"""Scale tests: fleets of many members in few processes, to measure what size costs.
+"""Scale tests: measure the cost of fleet size with many members in a few processes.
 
-A headless proxy is the proxy itself without callers and without a web server; an endpoint
-is the stand-in that beats and answers probes. Registries and stores are real.
+A headless proxy is the real proxy without clients and without a web server. An endpoint is the
+stand-in that sends heartbeats and answers probes. Registries and stores are real processes.
 
-`commands` is the command line, `sweep` the plan, `testbed` a fleet of a size with its `worker`
-processes, `measure` one run of it; `simulated` is the same on virtual time, and `data_path`
-measures what a proxy adds to a request. `dataset`, `fit` and `metrics` lead from records to
-slopes; `report`, `tables`, `data_tables` and `plots` make the page out of them.
+Modules:
+
+- `commands` is the command line and `sweep` is the plan of the sizes to measure.
+- `testbed` starts a fleet of a given size with its `worker` processes; `measure` runs it once.
+- `simulated` measures the same sizes on virtual time.
+- `data_path` measures what a proxy adds to a request.
+- `dataset`, `fit` and `metrics` turn the records of runs into slopes.
+- `report`, `tables`, `data_tables` and `plots` generate the capacity page from them.
 """
--- a/packages/scale/src/dykeswitch/scale/data_path.py
+++ b/packages/scale/src/dykeswitch/scale/data_path.py
@@ -1,4 +1,7 @@
-"""What carrying a request costs: one real proxy before stand-in endpoints, against calling them directly."""
+"""Measures the cost of a proxied request.
+
+One real proxy in front of stand-in endpoints is compared with calling the endpoints directly.
+"""
 
 import asyncio
 import collections
@@ -24,45 +27,45 @@
 from dykeswitch.scale.size import Size
 from dykeswitch.scale.worker_handle import WorkerHandle
 
-Page = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
-DURATION_S: typing.Final = 12.0
-IDLE_S: typing.Final = 5.0
-# A proxy proves a pipe anew that lay idle for longer than this part of `drain_s`.
-KEPT_S: typing.Final = 0.5
+LOAD_DURATION_S: typing.Final = 12.0
+IDLE_WINDOW_S: typing.Final = 5.0
+# A quarter of the default `drain_s`: a proxy verifies a connection again if it was idle for longer.
+MAX_KEPT_IDLE_S: typing.Final = 0.5
 ARMS: typing.Final = ("direct", "relay", "proxy")
 SERVICE: typing.Final = "s0"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """Requests a second in all, by lot over the arms, and endpoints behind the proxy."""
+    """The number of endpoints and the total requests per second, spread at random over `ARMS`."""
 
     endpoints: int
     rate: float
 
 
-# Few endpoints keep their pipes warm; with many, each lies idle between two requests.
+# With few endpoints their connections stay in use; with many, each is idle between two requests.
 LOADS: typing.Final = (Load(4, 60), Load(4, 150), Load(4, 300), Load(200, 60), Load(200, 150))
 
 
-class Sampled(fleets.Process):
-    """A proxy under the sampler."""
+class SampledProxy(fleets.Process):
+    """A proxy that runs under the sampling profiler."""
 
     def _args(self) -> list[str]:
         args = super()._args()
-        at = args.index("dykeswitch.cli.main")
+        module_index = args.index("dykeswitch.cli.main")
         path = str(self._folder / f"{self.name}.parts")
-        return [*args[:at], "dykeswitch.scale.profiler", path, *args[at + 1 :]]
+        return [*args[:module_index], "dykeswitch.scale.profiler", path, *args[module_index + 1 :]]
 
-    def parts(self) -> Page:
-        """Samples by part, once the proxy has ended."""
-        page: Page = json.loads((self._folder / f"{self.name}.parts").read_text())
-        return page
+    def read_samples(self) -> JsonObject:
+        """Return the profile that the proxy wrote when it ended, with samples by part."""
+        profile: JsonObject = json.loads((self._folder / f"{self.name}.parts").read_text())
+        return profile
 
 
 class Bench:
-    """One core, one proxy, a worker of endpoints, and a bare relay to one of them."""
+    """One core, one proxy, a worker that runs the endpoints, and a plain relay to one endpoint."""
 
     def __init__(self, load: Load, folder: pathlib.Path, turn: int, sampled: bool) -> None:
         self.load = load
@@ -70,7 +73,7 @@
         self.fleet = fleets.Fleet(shapes.Shape("data", 1, 1, ("z1",), ()), folder, turn)
         (proxy,) = self.fleet.proxies
         if sampled:
-            proxy = Sampled("proxy", proxy.name, proxy.flags, folder)
+            proxy = SampledProxy("proxy", proxy.name, proxy.flags, folder)
             self.fleet.proxies[:] = [proxy]
         self.proxy = proxy
         block = f"127.{self.rng.randrange(1, 250)}.{os.getpid() % 250}"
@@ -78,7 +81,7 @@
             {
                 "name": f"{SERVICE}-{n}",
                 "service": SERVICE,
-                "address": f"{block}.1:{testbeds.PORT_FROM + n}",
+                "address": f"{block}.1:{testbeds.MIN_PORT + n}",
                 "zone": "z1",
             }
             for n in range(load.endpoints)
@@ -86,113 +89,115 @@
         web = [registry.web for registry, _ in self.fleet.cores]
         spec = {"kind": "endpoint", "members": members, "seed": 1, "registries": web, "interval_s": 1.0}
         self.worker = WorkerHandle("endpoints", spec, folder)
-        relay = {"address": f"{block}.2:{testbeds.PORT_FROM}", "target": members[0]["address"]}
+        relay = {"address": f"{block}.2:{testbeds.MIN_PORT}", "target": members[0]["address"]}
         self.relay = WorkerHandle("relay", {"kind": "relay", "members": [relay]}, folder)
         self.addresses = [str(m["address"]) for m in members]
-        self.took: dict[str, list[float]] = collections.defaultdict(list)
-        self.failed = 0
-        self._used: dict[str, float] = {}
+        self.durations: dict[str, list[float]] = collections.defaultdict(list)
+        self.failed_count = 0
+        self._last_used: dict[str, float] = {}
         self._watchdog: subprocess.Popen[bytes] | None = None
 
     async def start(self) -> None:
-        """Start everything, and wait until the proxy knows all endpoints."""
+        """Start all processes and wait until the proxy knows every endpoint."""
         self._watchdog = testbeds.start_cores(self.fleet)
         layout = Size(services=1, rules=100).layout(0)
         layout["rules"].append({"path": "/", "service": SERVICE})
         await self.fleet.apply(layout)
         await asyncio.gather(self.worker.start(), self.relay.start())
         self.proxy.start()
-        testbeds.tell_watchdog(self._watchdog, self.proxy)
+        testbeds.add_to_watchdog(self._watchdog, self.proxy)
         self.fleet.spawn(self.fleet.clients.watch_readiness())
         await self.fleet.until(lambda: bool(self.fleet.clients.ready), 60, "the proxy is ready")
         while await self.fleet.known() < self.load.endpoints:
             await self.fleet.machine.clock.sleep(0.05)
 
     async def stop(self) -> None:
-        """Stop everything."""
-        await asyncio.gather(self.worker.end(), self.relay.end())
+        """Stop all processes."""
+        await asyncio.gather(self.worker.terminate(), self.relay.terminate())
         await self.fleet.stop()
-        testbeds.end_watchdog(self._watchdog)
+        testbeds.stop_watchdog(self._watchdog)
 
-    async def drive(self) -> process_stats.Reading:
-        """Send for a span; what the proxy spent on it beyond its idling."""
+    async def run_load(self) -> process_stats.Reading:
+        """Send requests for `LOAD_DURATION_S` and return what the proxy used beyond its idle usage."""
         loop = asyncio.get_running_loop()
         await asyncio.sleep(2.0)
         idle = process_stats.read(self.proxy.pid)
-        await asyncio.sleep(IDLE_S)
-        if isinstance(self.proxy, Sampled):
-            # What it took to start is no part of a request.
+        await asyncio.sleep(IDLE_WINDOW_S)
+        if isinstance(self.proxy, SampledProxy):
+            # The samples taken during start-up don't belong to requests.
             self.proxy.tell(signal.SIGUSR1)
         before = process_stats.read(self.proxy.pid)
-        end = loop.time() + DURATION_S
-        due = loop.time()
+        ends_at = loop.time() + LOAD_DURATION_S
+        due_at = loop.time()
         async with asyncio.TaskGroup() as group:
-            while (due := due + self.rng.expovariate(self.load.rate)) < end:
-                await asyncio.sleep(max(0.0, due - loop.time()))
-                group.create_task(self._one(self.rng.choice(ARMS)))
+            while (due_at := due_at + self.rng.expovariate(self.load.rate)) < ends_at:
+                await asyncio.sleep(max(0.0, due_at - loop.time()))
+                group.create_task(self._send_one(self.rng.choice(ARMS)))
         after = process_stats.read(self.proxy.pid)
-        rest = (before.run_s - idle.run_s) / IDLE_S * DURATION_S
+        idle_run_s = (before.run_s - idle.run_s) / IDLE_WINDOW_S * LOAD_DURATION_S
         return process_stats.Reading(
-            after.run_s - before.run_s - rest, after.wait_s - before.wait_s, after.memory_mb
+            after.run_s - before.run_s - idle_run_s, after.wait_s - before.wait_s, after.memory_mb
         )
 
-    async def _one(self, arm: str) -> None:
+    async def _send_one(self, arm: str) -> None:
         address = {"proxy": self.proxy.web, "relay": str(self.relay.spec["members"][0]["address"])}.get(arm)
         address = address or self.rng.choice(self.addresses)
-        begun = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         try:
-            reply = await self.fleet.machine.web.request("GET", address, "/x?ask=a", [], b"", 5.0)
+            response = await self.fleet.machine.web.request("GET", address, "/x?ask=a", [], b"", 5.0)
         except (OSError, TimeoutError):
-            self.failed += 1
+            self.failed_count += 1
             return
         now = asyncio.get_running_loop().time()
-        if reply.status != 200:
-            self.failed += 1
+        if response.status != 200:
+            self.failed_count += 1
             return
         if arm != "relay":
-            # Warm, idle or fresh: by when this endpoint was reached last in this way.
-            by = f"{arm} {reply.header('dykeswitch-served-by')}"
-            last = self._used.get(by)
-            state = "fresh" if last is None else "kept" if begun - last < KEPT_S else "idle"
-            self._used[by] = now
-            self.took[f"{arm} {state}"].append(now - begun)
-        self.took[arm].append(now - begun)
+            # Fresh, kept or idle, depending on when this arm last reached this endpoint.
+            route = f"{arm} {response.header('dykeswitch-served-by')}"
+            last = self._last_used.get(route)
+            state = "fresh" if last is None else "kept" if started_at - last < MAX_KEPT_IDLE_S else "idle"
+            self._last_used[route] = now
+            self.durations[f"{arm} {state}"].append(now - started_at)
+        self.durations[arm].append(now - started_at)
 
 
-async def _bench(load: Load, turn: int, sampled: bool) -> Page:
+async def _run_bench(load: Load, turn: int, sampled: bool) -> JsonObject:
     folder = pathlib.Path(tempfile.mkdtemp(prefix="dykeswitch-data-"))
     bench = Bench(load, folder, turn, sampled)
-    page: Page = {}
+    result: JsonObject = {}
     try:
         await bench.start()
-        spent = await bench.drive()
-        asked = len(bench.took["proxy"])
-        page = {
-            "asked": asked,
-            "failed": bench.failed,
-            "proxy_ms": round(spent.run_s / max(1, asked) * 1000, 4),
-            "proxy_wait_share": round(spent.wait_s / DURATION_S, 4),
-            "memory_mb": round(spent.memory_mb, 1),
-            "took": {name: testbeds.quantiles(took) for name, took in sorted(bench.took.items())},
+        usage = await bench.run_load()
+        request_count = len(bench.durations["proxy"])
+        result = {
+            "asked": request_count,
+            "failed": bench.failed_count,
+            "proxy_ms": round(usage.run_s / max(1, request_count) * 1000, 4),
+            "proxy_wait_share": round(usage.wait_s / LOAD_DURATION_S, 4),
+            "memory_mb": round(usage.memory_mb, 1),
+            "took": {
+                name: testbeds.quantiles(durations) for name, durations in sorted(bench.durations.items())
+            },
         }
-        if isinstance(bench.proxy, Sampled):
+        if isinstance(bench.proxy, SampledProxy):
             bench.proxy.tell(signal.SIGTERM)
             await bench.proxy.gone(15)
-            page["sampled"] = bench.proxy.parts()
+            result["sampled"] = bench.proxy.read_samples()
     finally:
         with contextlib.suppress(OSError):
             await bench.stop()
         shutil.rmtree(folder, ignore_errors=True)
-    return page
+    return result
 
 
 def run(turns: typing.Sequence[int], path: pathlib.Path) -> int:
-    """Every load, turn by turn, and one run of each under the sampler; how many failed."""
-    failed = 0
+    """Run each load in each turn, once plain and once profiled; return how many runs failed."""
+    failed_count = 0
     for turn in turns:
         for load in LOADS:
             for sampled in (False, True):
-                head: Page = {
+                common_fields: JsonObject = {
                     "kind": "data",
                     "turn": turn,
                     "commit": measure.commit(),
@@ -201,11 +206,11 @@
                     **dataclasses.asdict(load),
                 }
                 try:
-                    page = asyncio.run(sweeps.bounded(_bench(load, turn, sampled)))
-                except (OSError, TimeoutError) as flaw:
-                    failed += 1
-                    page = {"why": str(flaw)[:200]}
-                    head["kind"] = "failed"
-                sweeps.write(path, {**head, **page})
+                    result = asyncio.run(sweeps.run_with_time_limit(_run_bench(load, turn, sampled)))
+                except (OSError, TimeoutError) as error:
+                    failed_count += 1
+                    result = {"why": str(error)[:200]}
+                    common_fields["kind"] = "failed"
+                sweeps.write(path, {**common_fields, **result})
                 sys.stderr.write(f"data {turn} {load} sampled={sampled}\n")
-    return failed
+    return failed_count
--- a/packages/scale/src/dykeswitch/scale/dataset.py
+++ b/packages/scale/src/dykeswitch/scale/dataset.py
@@ -1,4 +1,4 @@
-"""All records of the runs, and each metric extrapolated to the target."""
+"""Reads the records of the runs and extrapolates each metric to the target."""
 
 import dataclasses
 import pathlib
@@ -9,46 +9,48 @@
 import dykeswitch.scale.target as targets
 
 Record = fits.Record
-BEFORE: typing.Final = "before"
+# The stem of the file with the runs of earlier commits.
+EARLIER_FILE: typing.Final = "before"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Dataset:
-    """All records, and each figure brought to the target."""
+    """The records, and each metric extrapolated to the target."""
 
-    # Those whose workers never stood still; slopes are of these.
+    # The runs in which no headless proxy stalled; the slopes are fitted to these.
     runs: list[Record]
-    every: list[Record]
-    # Of earlier commits, to compare with at the same sizes.
-    before: list[Record]
-    others: list[Record]
+    all_runs: list[Record]
+    # Runs of earlier commits, for comparison at the same sizes.
+    earlier_runs: list[Record]
+    other_records: list[Record]
     extrapolations: dict[tuple[str, str], fits.Extrapolation]
 
     def total(
-        self, role: str, pick: typing.Callable[[fits.Extrapolation], float] = lambda r: r.value
+        self, role: str, select: typing.Callable[[fits.Extrapolation], float] = lambda r: r.value
     ) -> float:
-        """Bytes a second of all kinds of a role at the target."""
+        """Return a role's bytes per second at the target, summed over all kinds of messages."""
         return sum(
-            pick(self.extrapolations[role, f.name])
-            for f in metrics.METRICS
-            if f.role == role and f.unit == "B/s"
+            select(self.extrapolations[role, metric.name])
+            for metric in metrics.METRICS
+            if metric.role == role and metric.unit == "B/s"
         )
 
 
 def load(records: typing.Sequence[Record]) -> Dataset:
-    """Sort the records, and extrapolate each metric to the target."""
-    every = [r for r in records if r["kind"] == "run" and r["file"] != BEFORE]
-    before = [r for r in records if r["kind"] == "run" and r["file"] == BEFORE]
-    runs = [r for r in every if not metrics.strained(r)]
+    """Divide the records by kind and extrapolate each metric to the target."""
+    all_runs = [r for r in records if r["kind"] == "run" and r["file"] != EARLIER_FILE]
+    earlier_runs = [r for r in records if r["kind"] == "run" and r["file"] == EARLIER_FILE]
+    runs = [r for r in all_runs if not metrics.is_stalled(r)]
     sizes = targets.sizes()
     extrapolations = {
-        (f.role, f.name): fits.extrapolate(runs, f.look, f.terms, sizes) for f in metrics.METRICS
+        (metric.role, metric.name): fits.extrapolate(runs, metric.reader, metric.terms, sizes)
+        for metric in metrics.METRICS
     }
-    return Dataset(runs, every, before, [r for r in records if r["kind"] != "run"], extrapolations)
+    return Dataset(runs, all_runs, earlier_runs, [r for r in records if r["kind"] != "run"], extrapolations)
 
 
 def read(folder: pathlib.Path) -> list[Record]:
-    """Every record in a folder, files in the order of their names."""
+    """Return every record in a folder, with the files in the order of their names."""
     import dykeswitch.scale.sweep as sweeps
 
     files = sorted(folder.glob("*.jsonl"))
--- a/packages/scale/src/dykeswitch/scale/formatting.py
+++ b/packages/scale/src/dykeswitch/scale/formatting.py
@@ -1,35 +1,39 @@
-"""How figures are written for people."""
+"""Formats numbers and tables for the capacity page."""
 
 import typing
 
 Rows = list[list[str]]
-# What an added variable is measured in, for people.
-WORDS: typing.Final = {"changes": "layout changes a minute", "marks": "marks a minute", "cores": "registries"}
-
-
-def number(value: float) -> str:
-    """A figure as people read it: three digits that count."""
-    size = abs(value)
-    if size >= 1000:
+# Axis labels of the variables whose names don't show their unit or meaning.
+AXIS_LABELS: typing.Final = {
+    "changes": "layout changes a minute",
+    "marks": "marks a minute",
+    "cores": "registries",
+}
+
+
+def format_number(value: float) -> str:
+    """Format a number with three significant digits, or two below 0.001."""
+    magnitude = abs(value)
+    if magnitude >= 1000:
         return f"{float(f'{value:.3g}'):,.0f}"
-    return f"{value:.3g}" if size >= 0.001 or not size else f"{value:.2g}"
+    return f"{value:.3g}" if magnitude >= 0.001 or not magnitude else f"{value:.2g}"
 
 
-def amount(value: float, unit: str) -> str:
-    """A figure with its unit: bytes in powers of a thousand, cores, megabytes."""
+def format_amount(value: float, unit: str) -> str:
+    """Format a number with its unit, in powers of a thousand for bytes."""
     if unit == "core":
-        return f"{number(value * 100)}% of a core" if value < 1 else f"{number(value)} cores"
+        return f"{format_number(value * 100)}% of a core" if value < 1 else f"{format_number(value)} cores"
     if unit == "MB":
-        return f"{number(value)} MB" if value < 1e4 else f"{number(value / 1e3)} GB"
+        return f"{format_number(value)} MB" if value < 1e4 else f"{format_number(value / 1e3)} GB"
     if unit in ("B", "B/s"):
-        for size, sign in ((1e9, "G"), (1e6, "M"), (1e3, "K")):
-            if value >= size:
-                return f"{number(value / size)} {sign}{unit}"
-    return f"{number(value)} {unit}"
+        for magnitude, prefix in ((1e9, "G"), (1e6, "M"), (1e3, "K")):
+            if value >= magnitude:
+                return f"{format_number(value / magnitude)} {prefix}{unit}"
+    return f"{format_number(value)} {unit}"
 
 
-def table(head: typing.Sequence[str], rows: Rows) -> str:
-    """A table in Markdown."""
-    lines = ["| " + " | ".join(head) + " |", "|" + " --- |" * len(head)]
+def markdown_table(header: typing.Sequence[str], rows: Rows) -> str:
+    """Return a Markdown table."""
+    lines = ["| " + " | ".join(header) + " |", "|" + " --- |" * len(header)]
     lines += ["| " + " | ".join(row) + " |" for row in rows]
     return "\n".join(lines) + "\n"
--- a/packages/scale/src/dykeswitch/scale/metrics.py
+++ b/packages/scale/src/dykeswitch/scale/metrics.py
@@ -1,4 +1,4 @@
-"""What is read out of a run's record, and which sizes each figure is a sum of."""
+"""The metrics read from the record of a run, and the terms that each one is fitted to."""
 
 import dataclasses
 import typing
@@ -8,8 +8,8 @@
 
 Record = fits.Record
 
-# Kinds of messages by what they are for; what is not named is "other".
-GROUPS: typing.Final[dict[str, str]] = {
+# Groups of message kinds by purpose; a kind that isn't listed belongs to "other".
+GROUP_BY_KIND: typing.Final[dict[str, str]] = {
     "poll": "polls",
     "shuffle": "shuffles",
     "tell": "pushes",
@@ -24,58 +24,61 @@
 }
 
 
-def strained(record: Record) -> bool:
-    """Whether headless proxies stood still in the steady window: then the machine was measured."""
+def is_stalled(record: Record) -> bool:
+    """Return whether headless proxies froze during the window.
+
+    Such a run measures an overloaded machine instead of the program.
+    """
     return bool(record["roles"][HEADLESS].get("frozen"))
 
 
-def by_group(role: dict[str, typing.Any]) -> dict[str, float]:
-    """Bytes a second by group of kinds, both ways."""
-    found: dict[str, float] = {}
+def bytes_by_group(role: dict[str, typing.Any]) -> dict[str, float]:
+    """Return a role's bytes per second by group of message kinds, both directions added."""
+    totals: dict[str, float] = {}
     for key, rate in role["rates"].items():
         if key.startswith("frames_") and key.endswith("_bytes"):
-            group = GROUPS.get(key.split("_")[2], "other")
-            found[group] = found.get(group, 0.0) + rate
-    return found
+            group = GROUP_BY_KIND.get(key.split("_")[2], "other")
+            totals[group] = totals.get(group, 0.0) + rate
+    return totals
 
 
-def beat_bytes(record: Record) -> float:
-    """Bytes a second of beats at one registry, HTTP both ways."""
+def heartbeat_bytes(record: Record) -> float:
+    """Return the bytes per second of heartbeats at one registry, HTTP in both directions."""
     rates = record["roles"]["endpoint"]["rates"]
-    each = rates.get("beat_sent_bytes", 0.0) + rates.get("beat_got_bytes", 0.0)
-    return float(each * record["size"]["endpoints"] / record["size"]["cores"])
+    endpoint_rate = rates.get("beat_sent_bytes", 0.0) + rates.get("beat_got_bytes", 0.0)
+    return float(endpoint_rate * record["size"]["endpoints"] / record["size"]["cores"])
 
 
-def proxy_bytes(group: str) -> fits.Reader:
-    """Reads a headless proxy's bytes a second in a group of message kinds."""
-    return lambda r: by_group(r["roles"][HEADLESS]).get(group)
+def proxy_bytes(group: str) -> fits.MetricReader:
+    """Return a reader of a headless proxy's bytes per second in a group of message kinds."""
+    return lambda r: bytes_by_group(r["roles"][HEADLESS]).get(group)
 
 
-def registry_bytes(group: str) -> fits.Reader:
-    """Reads a registry's bytes a second in a group of message kinds."""
+def registry_bytes(group: str) -> fits.MetricReader:
+    """Return a reader of a registry's bytes per second in a group of message kinds."""
     if group == "beats":
-        return beat_bytes
-    return lambda r: by_group(r["roles"]["registry"]).get(group)
+        return heartbeat_bytes
+    return lambda r: bytes_by_group(r["roles"]["registry"]).get(group)
 
 
-def store_bytes(group: str) -> fits.Reader:
-    """Reads a store's bytes a second in a group of message kinds."""
-    return lambda r: by_group(r["roles"]["store"]).get(group)
+def store_bytes(group: str) -> fits.MetricReader:
+    """Return a reader of a store's bytes per second in a group of message kinds."""
+    return lambda r: bytes_by_group(r["roles"]["store"]).get(group)
 
 
-def role_figure(role: str, name: str) -> fits.Reader:
-    """Reads one figure of a role, as the record names it."""
+def role_metric(role: str, name: str) -> fits.MetricReader:
+    """Return a reader of one figure of a role, by its name in the record."""
     return lambda r: float(r["roles"][role][name])
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Metric:
-    """One figure of a role: its unit, its look, its terms."""
+    """One metric of a role: its unit, its reader, and the terms to fit."""
 
     role: str
     name: str
     unit: str
-    look: fits.Reader
+    reader: fits.MetricReader
     terms: tuple[str, ...]
 
 
@@ -94,7 +97,7 @@
         "proxy",
         "processor",
         "core",
-        role_figure("proxy", "core_share"),
+        role_metric("proxy", "core_share"),
         (
             "1",
             "cores",
@@ -111,7 +114,7 @@
         "proxy",
         "memory",
         "MB",
-        role_figure("proxy", "memory_mb"),
+        role_metric("proxy", "memory_mb"),
         ("1", "endpoints", "nodes", "rules", "services"),
     ),
     Metric(
@@ -154,7 +157,7 @@
         "registry",
         "processor",
         "core",
-        role_figure("registry", "core_share"),
+        role_metric("registry", "core_share"),
         (
             "1",
             "cores",
@@ -173,7 +176,7 @@
         "registry",
         "memory",
         "MB",
-        role_figure("registry", "memory_mb"),
+        role_metric("registry", "memory_mb"),
         ("1", "endpoints", "nodes", "rules", "services"),
     ),
     Metric("store", "register", "B/s", store_bytes("register"), ("1", "cores", "changes", "changes*rules")),
@@ -181,8 +184,8 @@
         "store",
         "processor",
         "core",
-        role_figure("store", "core_share"),
+        role_metric("store", "core_share"),
         ("1", "cores", "changes", "changes*rules"),
     ),
-    Metric("store", "memory", "MB", role_figure("store", "memory_mb"), ("1", "rules")),
+    Metric("store", "memory", "MB", role_metric("store", "memory_mb"), ("1", "rules")),
 )
--- a/packages/scale/src/dykeswitch/scale/plots.py
+++ b/packages/scale/src/dykeswitch/scale/plots.py
@@ -1,4 +1,4 @@
-"""Plots of the sweeps as SVG: the runs, and the sum of slopes through them."""
+"""Plots the sweeps as SVG: the runs, and the fitted sum of terms."""
 
 import dataclasses
 import pathlib
@@ -16,79 +16,83 @@
 import dykeswitch.scale.metrics as metrics
 import dykeswitch.scale.sweep as sweeps
 
-# The same records give the very same bytes: no ids by lot, no date, text kept as text.
+# The same records give the same bytes: fixed salt for ids, no date, and text kept as text.
 matplotlib.rcParams.update({"svg.hashsalt": "dykeswitch", "svg.fonttype": "none", "font.size": 8})
 
 Record = dict[str, typing.Any]
-SWEPT: typing.Final = ("nodes", "endpoints", "services", "rules", "changes", "marks", "cores")
+SWEPT_VARIABLES: typing.Final = ("nodes", "endpoints", "services", "rules", "changes", "marks", "cores")
 
 
-def _alike(run: Record, name: str) -> bool:
-    """Whether a run differs from the base in nothing but one variable."""
+def _differs_only_in(run: Record, name: str) -> bool:
+    """Return whether a run differs from the base in no other variable than `name`."""
     base = dataclasses.asdict(sweeps.BASE)
     return all(run["size"][k] == base[k] for k in base if k != name)
 
 
 def draw(data: datasets.Dataset, folder: pathlib.Path) -> list[pathlib.Path]:
-    """One sheet for each role: a panel for each variable and figure."""
-    made = []
+    """Draw a figure for each role, with a panel for each variable and metric; return the files."""
+    paths = []
     for role in ("proxy", "registry", "store"):
         path = folder / f"{role}.svg"
-        _sheet(data, role, path)
-        made.append(path)
-    return made
+        _draw_role(data, role, path)
+        paths.append(path)
+    return paths
 
 
-def _sheet(data: datasets.Dataset, role: str, path: pathlib.Path) -> None:
+def _draw_role(data: datasets.Dataset, role: str, path: pathlib.Path) -> None:
     panels: list[tuple[str, str, typing.Callable[[Record], float], typing.Callable[[Record], float]]] = []
-    wire = [f for f in metrics.METRICS if f.role == role and f.unit == "B/s"]
+    byte_metrics = [m for m in metrics.METRICS if m.role == role and m.unit == "B/s"]
 
-    def told(run: Record) -> float:
-        return sum(f.look(run) or 0.0 for f in wire) / 1000
+    def measured_kb(run: Record) -> float:
+        return sum(m.reader(run) or 0.0 for m in byte_metrics) / 1000
 
-    def summed(size: Record) -> float:
-        return sum(data.extrapolations[role, f.name].fit.at(size) for f in wire) / 1000
+    def fitted_kb(size: Record) -> float:
+        return sum(data.extrapolations[role, m.name].fit.value_at(size) for m in byte_metrics) / 1000
 
-    panels.append(("KB/s", "bytes", told, summed))
-    for name, unit, times in (("processor", "% of a core", 100.0), ("memory", "MB", 1.0)):
-        figure = next(f for f in metrics.METRICS if (f.role, f.name) == (role, name))
+    panels.append(("KB/s", "bytes", measured_kb, fitted_kb))
+    for name, unit, factor in (("processor", "% of a core", 100.0), ("memory", "MB", 1.0)):
+        metric = next(m for m in metrics.METRICS if (m.role, m.name) == (role, name))
 
-        panels.append((unit, name, _scaled(figure.look, times), _fitted(data, figure, times)))
-    sheet, grid = pyplot.subplots(len(panels), len(SWEPT), figsize=(2.3 * len(SWEPT), 2.1 * len(panels)))
-    for n, (unit, name, look, fitted) in enumerate(panels):
-        for m, swept in enumerate(SWEPT):
-            _panel(grid[n][m], data, swept, look, fitted)
-            grid[n][m].set_xlabel(formatting.WORDS.get(swept, swept))
-            if m == 0:
-                grid[n][m].set_ylabel(f"{name}, {unit}")
-    sheet.tight_layout()
-    sheet.savefig(path, metadata={"Date": None, "Creator": None})
-    pyplot.close(sheet)
+        panels.append((unit, name, _scaled(metric.reader, factor), _fitted(data, metric, factor)))
+    figure, grid = pyplot.subplots(
+        len(panels), len(SWEPT_VARIABLES), figsize=(2.3 * len(SWEPT_VARIABLES), 2.1 * len(panels))
+    )
+    for row, (unit, name, reader, fitted) in enumerate(panels):
+        for column, variable in enumerate(SWEPT_VARIABLES):
+            _draw_panel(grid[row][column], data, variable, reader, fitted)
+            grid[row][column].set_xlabel(formatting.AXIS_LABELS.get(variable, variable))
+            if column == 0:
+                grid[row][column].set_ylabel(f"{name}, {unit}")
+    figure.tight_layout()
+    figure.savefig(path, metadata={"Date": None, "Creator": None})
+    pyplot.close(figure)
 
 
-def _scaled(look: fits.Reader, times: float) -> typing.Callable[[Record], float]:
-    return lambda run: (look(run) or 0.0) * times
+def _scaled(reader: fits.MetricReader, factor: float) -> typing.Callable[[Record], float]:
+    return lambda run: (reader(run) or 0.0) * factor
 
 
-def _fitted(data: datasets.Dataset, figure: metrics.Metric, times: float) -> typing.Callable[[Record], float]:
-    return lambda size: data.extrapolations[figure.role, figure.name].fit.at(size) * times
+def _fitted(
+    data: datasets.Dataset, metric: metrics.Metric, factor: float
+) -> typing.Callable[[Record], float]:
+    return lambda size: data.extrapolations[metric.role, metric.name].fit.value_at(size) * factor
 
 
-def _panel(
+def _draw_panel(
     axes: typing.Any,
     data: datasets.Dataset,
-    swept: str,
-    look: typing.Callable[[Record], float],
+    variable: str,
+    reader: typing.Callable[[Record], float],
     fitted: typing.Callable[[Record], float],
 ) -> None:
     points: dict[float, list[float]] = {}
     for run in data.runs:
-        if _alike(run, swept):
-            points.setdefault(float(run["size"][swept]), []).append(look(run))
+        if _differs_only_in(run, variable):
+            points.setdefault(float(run["size"][variable]), []).append(reader(run))
     sizes = sorted(points)
     for size in sizes:
         axes.plot([size] * len(points[size]), points[size], "o", color="tab:blue", markersize=3)
     axes.plot(sizes, [statistics.median(points[s]) for s in sizes], ":", color="tab:blue", linewidth=0.8)
     base = dataclasses.asdict(sweeps.BASE)
-    axes.plot(sizes, [fitted({**base, swept: s}) for s in sizes], color="tab:red", linewidth=1)
+    axes.plot(sizes, [fitted({**base, variable: s}) for s in sizes], color="tab:red", linewidth=1)
     axes.set_ylim(bottom=0)
--- a/packages/scale/src/dykeswitch/scale/process_stats.py
+++ b/packages/scale/src/dykeswitch/scale/process_stats.py
@@ -1,14 +1,14 @@
-"""What the machine says of a process: processor time, waits for a core, memory."""
+"""Reads the resource usage of a process from /proc: processor time, run-queue wait, memory."""
 
 import dataclasses
 import pathlib
 
-PAGE_KB = 1024.0
+KB_PER_MB = 1024.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reading:
-    """One look at a process: seconds on a core, seconds of waiting for one, megabytes."""
+    """The usage of a process so far: seconds on a core, seconds of waiting for one, megabytes."""
 
     run_s: float
     wait_s: float
@@ -16,24 +16,24 @@
 
 
 def read(pid: int) -> Reading:
-    """A process as it is now; raises OSError when it is gone.
+    """Read the current usage of a process; raises OSError if it has ended.
 
-    The scheduler's own book is read for each thread: it counts nanoseconds, and also for how
-    long a thread stood ready while no core was free, which tells when a figure is the
-    machine's rather than the program's.
+    The scheduler's statistics are read for each thread. They are in nanoseconds and include the
+    time that a thread was runnable while no core was free, which shows when a figure reflects the
+    load of the machine rather than the program.
     """
-    home = pathlib.Path(f"/proc/{pid}")
-    run = wait = 0
-    for task in (home / "task").iterdir():
+    process_dir = pathlib.Path(f"/proc/{pid}")
+    run_ns = wait_ns = 0
+    for task in (process_dir / "task").iterdir():
         try:
-            spent, stood, _ = (task / "schedstat").read_text().split()
+            ran, waited, _ = (task / "schedstat").read_text().split()
         except (FileNotFoundError, ProcessLookupError):
-            # A thread that ended between the two looks.
+            # The thread ended after the directory was listed.
             continue
-        run += int(spent)
-        wait += int(stood)
-    memory = 0.0
-    for line in (home / "status").read_text().splitlines():
+        run_ns += int(ran)
+        wait_ns += int(waited)
+    memory_mb = 0.0
+    for line in (process_dir / "status").read_text().splitlines():
         if line.startswith("VmRSS:"):
-            memory = int(line.split()[1]) / PAGE_KB
-    return Reading(run / 1e9, wait / 1e9, memory)
+            memory_mb = int(line.split()[1]) / KB_PER_MB
+    return Reading(run_ns / 1e9, wait_ns / 1e9, memory_mb)
--- a/packages/scale/src/dykeswitch/scale/profiler.py
+++ b/packages/scale/src/dykeswitch/scale/profiler.py
@@ -1,8 +1,8 @@
-"""One of our programs under a sampler: on whose account its processor time goes.
+"""Runs one of the programs under a sampling profiler, to divide its processor time into parts.
 
-A signal comes after each so many microseconds of processor time; the innermost frame that
-belongs to a named part gets the sample. Nothing is timed twice, and what is not sampled runs
-as it always does. The parts are written to a file at the end.
+A signal arrives after each `SAMPLE_INTERVAL_S` of processor time, and the sample is counted for the
+innermost frame that belongs to a named part. So no time is counted twice, and the program runs
+unchanged between samples. The counts are written to a file at the end.
 """
 
 import argparse
@@ -17,10 +17,10 @@
 import dykeswitch.cli.daemons as daemons
 import dykeswitch.settings as settings
 
-EVERY_S: typing.Final = 0.002
+SAMPLE_INTERVAL_S: typing.Final = 0.002
 
-# Part by a piece of the path of a frame's file; the first that fits has it.
-PARTS: typing.Final = (
+# Parts by a substring of the path of a frame's file; the first match counts.
+PARTS_BY_PATH: typing.Final = (
     ("/dykeswitch/logs/", "log line"),
     ("/dykeswitch/proxy/selection", "selection"),
     ("/dykeswitch/proxy/budget", "selection"),
@@ -40,35 +40,35 @@
 
 
 class Sampler:
-    """Counts samples by part."""
+    """Counts samples by part and by function."""
 
     def __init__(self) -> None:
         self.parts: collections.Counter[str] = collections.Counter()
-        self.lines: collections.Counter[str] = collections.Counter()
+        self.functions: collections.Counter[str] = collections.Counter()
 
     def start(self) -> None:
-        """Start sampling; a user signal starts the counts anew."""
-        signal.signal(signal.SIGPROF, self._hit)
+        """Start sampling; SIGUSR1 resets the counts."""
+        signal.signal(signal.SIGPROF, self._on_sample)
         signal.signal(signal.SIGUSR1, self._clear)
-        signal.setitimer(signal.ITIMER_PROF, EVERY_S, EVERY_S)
+        signal.setitimer(signal.ITIMER_PROF, SAMPLE_INTERVAL_S, SAMPLE_INTERVAL_S)
 
     def stop(self) -> None:
         """Stop sampling."""
         signal.setitimer(signal.ITIMER_PROF, 0)
 
-    def _clear(self, sign: int, frame: types.FrameType | None) -> None:
+    def _clear(self, signal_number: int, frame: types.FrameType | None) -> None:
         self.parts.clear()
-        self.lines.clear()
+        self.functions.clear()
 
-    def _hit(self, sign: int, frame: types.FrameType | None) -> None:
+    def _on_sample(self, signal_number: int, frame: types.FrameType | None) -> None:
         if frame is not None:
             code = frame.f_code
             name = code.co_filename.rpartition("/site-packages/")[2].rpartition("/src/")[2]
-            self.lines[f"{name.rpartition('/lib/python3')[2]}:{code.co_name}"] += 1
+            self.functions[f"{name.rpartition('/lib/python3')[2]}:{code.co_name}"] += 1
         while frame is not None:
             path = frame.f_code.co_filename
-            for piece, part in PARTS:
-                if piece in path:
+            for path_part, part in PARTS_BY_PATH:
+                if path_part in path:
                     self.parts[part] += 1
                     return
             frame = frame.f_back
@@ -76,19 +76,19 @@
 
 
 def main() -> int:
-    """`python -m dykeswitch.scale.profiler OUTPUT PROGRAM --flag ...`."""
+    """Run `python -m dykeswitch.scale.profiler OUTPUT PROGRAM --flag ...`."""
     output, program, *flags = sys.argv[1:]
     parser = argparse.ArgumentParser()
     settings.add_flags(parser)
-    spoken = parser.parse_args(flags)
+    args = parser.parse_args(flags)
     sampler = Sampler()
     sampler.start()
     try:
-        return daemons.run(program, spoken)
+        return daemons.run(program, args)
     finally:
         sampler.stop()
-        page = {"parts": dict(sampler.parts), "lines": dict(sampler.lines.most_common(40))}
-        pathlib.Path(output).write_text(json.dumps(page))
+        report = {"parts": dict(sampler.parts), "lines": dict(sampler.functions.most_common(40))}
+        pathlib.Path(output).write_text(json.dumps(report))
 
 
 if __name__ == "__main__":
--- a/packages/scale/src/dykeswitch/scale/report.py
+++ b/packages/scale/src/dykeswitch/scale/report.py
@@ -1,7 +1,7 @@
-"""The page of capacity: tables and figures between markers, made from the records alone.
+"""Fills the capacity page with tables and figures generated from the records alone.
 
-In the page a block stands between `<!-- made: NAME -->` and `<!-- end -->`, a figure in a
-line between `<!--= NAME -->` and `<!--/-->`. All else is prose and holds no figure.
+A generated block is between `<!-- made: NAME -->` and `<!-- end -->`, and a figure within a line
+is between `<!--= NAME -->` and `<!--/-->`. Everything else is prose and contains no figures.
 """
 
 import re
@@ -13,10 +13,10 @@
 import dykeswitch.scale.metrics as metrics
 import dykeswitch.scale.tables as tables
 import dykeswitch.scale.target as targets
-from dykeswitch.scale.formatting import amount, number
+from dykeswitch.scale.formatting import format_amount, format_number
 
-BLOCK: typing.Final = re.compile(r"(<!-- made: ([a-z_]+) -->\n).*?(<!-- end -->)", re.S)
-INLINE: typing.Final = re.compile(r"(<!--= ([a-z0-9_]+) -->).*?(<!--/-->)", re.S)
+BLOCK_PATTERN: typing.Final = re.compile(r"(<!-- made: ([a-z_]+) -->\n).*?(<!-- end -->)", re.S)
+FIGURE_PATTERN: typing.Final = re.compile(r"(<!--= ([a-z0-9_]+) -->).*?(<!--/-->)", re.S)
 
 
 BLOCKS: typing.Final[dict[str, typing.Callable[[datasets.Dataset], str]]] = {
@@ -33,43 +33,45 @@
 
 
 def figures(data: datasets.Dataset) -> dict[str, str]:
-    """Every figure that a line of prose may hold, by name."""
-    t = targets.TARGET
-    found = {
-        "nodes": f"{t.nodes:,}",
-        "endpoints": f"{t.endpoints:,}",
-        "services": str(t.services),
-        "rules": f"{t.rules:,}",
-        "tenants": f"{t.tenants:,}",
-        "regions": str(t.regions),
-        "zones": str(t.zones),
-        "machines": str(t.machines),
-        "restarts_day": str(t.restarts_day),
-        "budget_bytes": amount(t.bytes_s, "B/s"),
-        "budget_core": f"{t.core_share * 100:.1f}%",
-        "budget_memory": amount(t.memory_mb, "MB"),
-        "added_p99": f"{t.added_p99_ms} ms",
-        "in_force": f"{t.in_force_s:.0f} s",
-        "runs": str(len(data.every)),
-        "left_out": str(len(data.every) - len(data.runs)),
+    """Return every figure that prose can refer to, by name."""
+    target = targets.TARGET
+    values = {
+        "nodes": f"{target.nodes:,}",
+        "endpoints": f"{target.endpoints:,}",
+        "services": str(target.services),
+        "rules": f"{target.rules:,}",
+        "tenants": f"{target.tenants:,}",
+        "regions": str(target.regions),
+        "zones": str(target.zones),
+        "machines": str(target.machines),
+        "restarts_day": str(target.restarts_day),
+        "budget_bytes": format_amount(target.bytes_s, "B/s"),
+        "budget_core": f"{target.core_share * 100:.1f}%",
+        "budget_memory": format_amount(target.memory_mb, "MB"),
+        "added_p99": f"{target.added_p99_ms} ms",
+        "in_force": f"{target.in_force_s:.0f} s",
+        "runs": str(len(data.all_runs)),
+        "left_out": str(len(data.all_runs) - len(data.runs)),
     }
     for name, (value, unit) in derived.figures().items():
-        found[name] = amount(value, unit) if unit else number(value)
-    found.update(data_tables.data_path_figures(data))
+        values[name] = format_amount(value, unit) if unit else format_number(value)
+    values.update(data_tables.data_path_figures(data))
     for role in ("proxy", "registry", "store"):
-        found[f"{role}_bytes"] = amount(data.total(role), "B/s")
-    for f in metrics.METRICS:
-        found[f"{f.role}_{f.name}"] = amount(data.extrapolations[f.role, f.name].value, f.unit)
-    return found
+        values[f"{role}_bytes"] = format_amount(data.total(role), "B/s")
+    for metric in metrics.METRICS:
+        values[f"{metric.role}_{metric.name}"] = format_amount(
+            data.extrapolations[metric.role, metric.name].value, metric.unit
+        )
+    return values
 
 
 def fill(page: str, data: datasets.Dataset) -> str:
-    """The page with every made block and figure as the records have it."""
-    known = figures(data)
-    page = BLOCK.sub(lambda m: m[1] + BLOCKS[m[2]](data) + m[3], page)
-    return INLINE.sub(lambda m: m[1] + known[m[2]] + m[3], page)
+    """Return the page with each generated block and figure replaced by its current value."""
+    values = figures(data)
+    page = BLOCK_PATTERN.sub(lambda m: m[1] + BLOCKS[m[2]](data) + m[3], page)
+    return FIGURE_PATTERN.sub(lambda m: m[1] + values[m[2]] + m[3], page)
 
 
 def prose(page: str) -> str:
-    """What a person wrote: the page less all that is made."""
-    return INLINE.sub("", BLOCK.sub("", page))
+    """Return the hand-written part of the page, without generated blocks and figures."""
+    return FIGURE_PATTERN.sub("", BLOCK_PATTERN.sub("", page))
--- a/packages/scale/src/dykeswitch/scale/size.py
+++ b/packages/scale/src/dykeswitch/scale/size.py
@@ -3,15 +3,18 @@
 import dataclasses
 import typing
 
-Page = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
-# The role of proxies without callers, as the records have it.
+# The name in the records of the role of proxies without clients.
 HEADLESS: typing.Final = "hollow"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Size:
-    """The size of a test fleet: what is varied, one at a time."""
+    """The size of a test fleet: the variables of the sweeps.
+
+    `changes` and `marks` are rates per minute.
+    """
 
     nodes: int = 40
     endpoints: int = 60
@@ -21,8 +24,8 @@
     marks: float = 0.0
     cores: int = 3
 
-    def layout(self, turn: int) -> Page:
-        """A layout of this size; each turn moves one rule to another service."""
+    def layout(self, turn: int) -> JsonObject:
+        """Return a layout of this size; each turn moves one rule to another service."""
         names = [f"s{n}" for n in range(self.services)]
         rules = [
             {
--- a/packages/scale/src/dykeswitch/scale/sweep.py
+++ b/packages/scale/src/dykeswitch/scale/sweep.py
@@ -1,4 +1,8 @@
-"""The plan: one variable at a time round a base, and crosses where a product is to be expected."""
+"""The plan of the sweeps.
+
+One variable at a time varies around a base size; two vary together where a product is expected.
+A turn is one pass over all the sizes; the command repeats the turns.
+"""
 
 import asyncio
 import dataclasses
@@ -13,12 +17,12 @@
 import dykeswitch.scale.worker_handle as worker_handles
 from dykeswitch.scale.size import Size
 
-Page = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
-RUN_MOST_S: typing.Final = worker_handles.RUN_MOST_S * 0.9
+RUN_TIMEOUT_S: typing.Final = worker_handles.MAX_RUN_S * 0.9
 BASE: typing.Final = Size(nodes=16, endpoints=60, services=10, rules=100)
 
-# For each sweep the sizes it visits; the base belongs to every one of them.
+# The sizes of each sweep; the base size is a point of every sweep.
 SWEEPS: typing.Final[dict[str, tuple[Size, ...]]] = {
     "base": (BASE,),
     "nodes": tuple(dataclasses.replace(BASE, nodes=n) for n in (8, 24, 40)),
@@ -28,7 +32,7 @@
     "rules": tuple(dataclasses.replace(BASE, rules=n) for n in (1000, 4000, 8000)),
     "services": tuple(dataclasses.replace(BASE, services=n) for n in (30, 60)),
     "cores": tuple(dataclasses.replace(BASE, cores=n) for n in (1, 5)),
-    # Two at a time, where one variable is likely to multiply the other.
+    # Two variables at a time, where one is likely to multiply the effect of the other.
     "cross": (
         dataclasses.replace(BASE, nodes=24, endpoints=120),
         dataclasses.replace(BASE, rules=1000, changes=30),
@@ -41,31 +45,31 @@
 
 
 def write(path: pathlib.Path, record: dict[str, typing.Any]) -> None:
-    """One record as a line of its own."""
+    """Append one record to the file as a line."""
     path.parent.mkdir(parents=True, exist_ok=True)
     with path.open("a") as out:
         out.write(json.dumps(record) + "\n")
 
 
 def read(path: pathlib.Path) -> list[dict[str, typing.Any]]:
-    """Every record of a file."""
+    """Return every record of a file."""
     return [json.loads(line) for line in path.read_text().splitlines() if line]
 
 
-async def bounded(work: typing.Coroutine[typing.Any, typing.Any, Page]) -> Page:
-    """A run that ends in time, and in order when this process is told to end."""
+async def run_with_time_limit(work: typing.Coroutine[typing.Any, typing.Any, JsonObject]) -> JsonObject:
+    """Run with a time limit, and cancel the run for an orderly stop on SIGTERM."""
     task = asyncio.create_task(work)
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
-    async with asyncio.timeout(RUN_MOST_S):
+    async with asyncio.timeout(RUN_TIMEOUT_S):
         return await task
 
 
 def run(
     sweeps: typing.Sequence[str], turns: typing.Sequence[int], path: pathlib.Path, simulated: bool = False
 ) -> int:
-    """Run sweeps turn by turn, each run a line in the file; how many failed."""
+    """Run sweeps turn by turn, append a record of each run, and return how many runs failed."""
     failed = 0
-    # Turn by turn, so that what the machine does meanwhile falls on all sizes alike.
+    # Turn by turn, so that other load on the machine affects all sizes alike.
     for turn in turns:
         for sweep in sweeps:
             for size in SWEEPS[sweep]:
@@ -73,15 +77,15 @@
                     if simulated:
                         record = simulations.run(sweep, size, turn)
                     else:
-                        record = asyncio.run(bounded(measure.run(sweep, size, turn)))
-                except (OSError, TimeoutError) as flaw:
-                    # A size that this machine can't carry is told, never left out in silence.
+                        record = asyncio.run(run_with_time_limit(measure.run(sweep, size, turn)))
+                except (OSError, TimeoutError) as error:
+                    # A size that exceeds this machine is recorded as failed instead of being left out.
                     failed += 1
                     record = {"kind": "failed", "sweep": sweep, "turn": turn}
                     record.update(
                         commit=measure.commit(),
                         size=dataclasses.asdict(size),
-                        why=f"{type(flaw).__name__} {flaw}"[:200],
+                        why=f"{type(error).__name__} {error}"[:200],
                     )
                 write(path, record)
                 sys.stderr.write(f"{sweep} {turn} {record['size']}: {record['kind']}\n")
--- a/packages/scale/src/dykeswitch/scale/target.py
+++ b/packages/scale/src/dykeswitch/scale/target.py
@@ -1,4 +1,4 @@
-"""The size to be reached in two years, as given, and what follows from it."""
+"""The required size in two years, and its values of the variables of the sweeps."""
 
 import dataclasses
 import typing
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """What was given; spans in seconds, rates as named."""
+    """The requirements; durations are in seconds, rates as named."""
 
     nodes: int = 1200
     endpoints: int = 17000
@@ -33,18 +33,18 @@
 
 
 def sizes(target: Target = TARGET) -> dict[str, float]:
-    """The target in the variables of the sweeps.
+    """Return the target as values of the variables of the sweeps.
 
-    A mark a minute is counted for each endpoint whose machine fails, spread over the day; what
-    a rack or a zone does at once is worked out by itself.
+    One mark is counted for each endpoint whose machine fails, as a rate per minute averaged over
+    the day; a rack or zone that fails at once is calculated separately.
     """
-    each = target.endpoints / (target.endpoints + target.nodes + target.machines)
+    endpoint_share = target.endpoints / (target.endpoints + target.nodes + target.machines)
     return {
         "nodes": target.nodes,
         "endpoints": target.endpoints,
         "services": target.services,
         "rules": target.rules,
         "changes": target.changes_day / DAY_S * 60,
-        "marks": target.failures_day * each / DAY_S * 60,
+        "marks": target.failures_day * endpoint_share / DAY_S * 60,
         "cores": target.machines,
     }
--- a/packages/scale/src/dykeswitch/scale/watchdog.py
+++ b/packages/scale/src/dykeswitch/scale/watchdog.py
@@ -1,7 +1,8 @@
-"""Ends the processes of a test fleet when its driver is gone or its time is over.
+"""Ends the processes of a test fleet when its driver has died or its time limit is reached.
 
-The three programs run until told to stop. A driver that is killed can tell nobody: this
-process is told their ids line by line, and when its input closes it tells them.
+Registries, stores and proxies run until they get a signal to stop, which a killed driver can't
+send. The driver writes their process ids to this process's input, one a line, and when the input
+closes, this process signals them.
 """
 
 import os
@@ -12,8 +13,8 @@
 import time
 
 
-def ours(pid: int) -> bool:
-    """Whether a process by this id still is one of ours: ids are used again."""
+def is_own_process(pid: int) -> bool:
+    """Return whether the process with this id belongs to dykeswitch, since ids are reused."""
     try:
         return b"dykeswitch" in pathlib.Path(f"/proc/{pid}/cmdline").read_bytes()
     except OSError:
@@ -21,18 +22,18 @@
 
 
 def main() -> None:
-    """Read process ids until the input closes or the time is over; then end them."""
-    end = time.monotonic() + float(sys.argv[1])
+    """Read process ids until the input closes or the time limit is reached, then end them."""
+    deadline = time.monotonic() + float(sys.argv[1])
     pids: list[int] = []
-    while (left := end - time.monotonic()) > 0:
-        if not select.select([sys.stdin], [], [], left)[0]:
+    while (remaining_s := deadline - time.monotonic()) > 0:
+        if not select.select([sys.stdin], [], [], remaining_s)[0]:
             break
         line = sys.stdin.readline()
         if not line:
             break
         pids.append(int(line))
     for pid in pids:
-        if ours(pid):
+        if is_own_process(pid):
             os.kill(pid, signal.SIGTERM)
 
 
--- a/packages/scale/src/dykeswitch/scale/worker.py
+++ b/packages/scale/src/dykeswitch/scale/worker.py
@@ -1,7 +1,7 @@
-"""A process of many members: proxies without callers, or endpoints that beat.
+"""A process that runs many members: headless proxies, endpoints, or a relay.
 
-The driver speaks to it by JSON lines on its standard input; it answers on its standard
-output. It ends by itself when the driver is gone, or when its time is over.
+The driver sends requests as JSON lines on standard input and gets the replies on standard output.
+The process ends by itself when the driver is gone or its time limit is reached.
 """
 
 import asyncio
@@ -24,104 +24,104 @@
 import dykeswitch.timeline as timelines
 
 Spec = dict[str, typing.Any]
-Page = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
-# How often members that are not ready yet are looked at: the grain of start-up times.
-LOOK_S: typing.Final = 0.02
+# How often members are checked for readiness; the resolution of start-up times.
+READY_POLL_INTERVAL_S: typing.Final = 0.02
 
 
 class NoServer:
-    """Stands for a web server that nobody calls."""
+    """A web server that doesn't listen."""
 
     async def stop(self, grace_s: float) -> None:
-        """Nothing runs that would have to stop."""
+        """Do nothing, since no server runs."""
         return None
 
 
 class NoWeb(real.RealWeb):
-    """Serves nothing: headless proxies have no callers."""
+    """Web access without a server, since headless proxies have no clients."""
 
     async def serve(
         self, address: str, app: ports.App, limits: ports.Limits = ports.default_limits
     ) -> ports.WebServer:
-        """Serve nothing."""
+        """Return a server that doesn't listen."""
         return NoServer()
 
 
 class CountingConnection:
-    """A pipe that adds its bytes to a book."""
+    """A connection that adds its bytes to shared counts."""
 
-    def __init__(self, connection: ports.Connection, events: dict[str, int], name: str) -> None:
+    def __init__(self, connection: ports.Connection, counts: dict[str, int], name: str) -> None:
         self._connection = connection
-        self._counts = events
+        self._counts = counts
         self._name = name
 
-    def _add(self, way: str, size: int) -> None:
-        key = f"{self._name}_{way}_bytes"
+    def _add(self, direction: str, size: int) -> None:
+        key = f"{self._name}_{direction}_bytes"
         self._counts[key] = self._counts.get(key, 0) + size
 
     async def read(self, max_bytes: int) -> bytes:
-        """Read and count."""
+        """Read, and count the bytes received."""
         data = await self._connection.read(max_bytes)
         self._add("got", len(data))
         return data
 
     async def write(self, data: bytes) -> None:
-        """Count and write."""
+        """Count the bytes sent, and write."""
         self._add("sent", len(data))
         await self._connection.write(data)
 
     def close(self) -> None:
-        """Close the connection beneath."""
+        """Close the wrapped connection."""
         self._connection.close()
 
     def ended(self) -> bool:
-        """Whether the connection beneath has ended."""
+        """Return whether the wrapped connection has ended."""
         return self._connection.ended()
 
 
-class CountNetwork:
-    """A network that counts what endpoints send as beats and get as probes."""
+class CountingNetwork:
+    """A network that counts the bytes of endpoints' heartbeats and of the probes they receive."""
 
     def __init__(self, net: ports.Network) -> None:
         self._net = net
-        self.events: dict[str, int] = {}
+        self.counts: dict[str, int] = {}
 
     async def connect(self, address: ports.Address, timeout_s: float) -> ports.Connection:
-        """Connect, and count what is sent as heartbeats."""
-        return CountingConnection(await self._net.connect(address, timeout_s), self.events, "beat")
+        """Connect, and count the bytes as heartbeats."""
+        return CountingConnection(await self._net.connect(address, timeout_s), self.counts, "beat")
 
     async def listen(self, address: str, serve: ports.Serve) -> ports.Listener:
-        """Listen, and count what comes as probes."""
+        """Listen, and count the bytes as probes."""
 
         async def counted(connection: ports.Connection) -> None:
-            await serve(CountingConnection(connection, self.events, "probe"))
+            await serve(CountingConnection(connection, self.counts, "probe"))
 
         return await self._net.listen(address, counted)
 
 
 class Members(typing.Protocol):
-    """What the kinds of worker have in common."""
+    """The interface that the kinds of worker have in common."""
 
     async def run(self) -> None:
         """Run all members."""
         ...
 
-    async def handle(self, ask: Page) -> Page:
-        """Answer one request of the driver."""
+    async def handle(self, request: JsonObject) -> JsonObject:
+        """Reply to one request of the driver."""
         ...
 
 
 class Proxies:
-    """Headless proxies, and the book of what each heard when."""
+    """Headless proxies, with a log of when each learned of an event."""
 
     def __init__(self, spec: Spec, write: typing.Callable[[list[typing.Any]], None]) -> None:
         self._write = write
         self._frozen = 0
         self.members: dict[str, proxies.Proxy] = {}
         machine = real.machine()._replace(web=NoWeb())
-        for raw in spec["members"]:
-            config = settings.Settings(**{**raw, "seeds": tuple(raw["seeds"])})
+        for member_spec in spec["members"]:
+            config = settings.Settings(**{**member_spec, "seeds": tuple(member_spec["seeds"])})
             log = logs.Log("proxy", config.name, "info", machine.clock)
             log.hook = self._hook(config.name)
             proxy = proxies.Proxy(config, machine, log, random.SystemRandom())
@@ -129,22 +129,22 @@
             self.members[config.name] = proxy
 
     def _hook(self, name: str) -> typing.Callable[[dict[str, typing.Any]], None]:
-        def told(line: dict[str, typing.Any]) -> None:
+        def on_log_line(line: dict[str, typing.Any]) -> None:
             if line["event"] == "layout taken up":
                 self._write(["layout", time.monotonic(), name, line["version"]])
             elif line["event"] == "frozen":
                 self._frozen += 1
 
-        return told
+        return on_log_line
 
     def _watch(self, name: str) -> typing.Callable[[timelines.Entry], None]:
-        def taken(entry: timelines.Entry) -> None:
+        def record(entry: timelines.Entry) -> None:
             if entry.kind == timelines.ENDPOINT and entry.fields["state"] == timelines.LEFT:
                 self._write(["left", time.monotonic(), name, entry.key])
             elif entry.kind == timelines.MARK:
                 self._write(["mark", time.monotonic(), name, entry.key])
 
-        return taken
+        return record
 
     async def run(self) -> None:
         """Run all proxies."""
@@ -152,52 +152,52 @@
             group.create_task(self._until_ready())
             for proxy in self.members.values():
                 group.create_task(proxy.run())
-                # A start of hundreds in one process must not look like a freeze to each.
+                # Starting hundreds of proxies without a pause would look like a freeze to each.
                 await asyncio.sleep(0)
 
     async def _until_ready(self) -> None:
-        waits = dict(self.members)
-        while waits:
-            for name in [n for n, p in waits.items() if p.ready() is None]:
-                del waits[name]
+        pending = dict(self.members)
+        while pending:
+            for name in [n for n, p in pending.items() if p.ready() is None]:
+                del pending[name]
                 self._write(["ready", time.monotonic(), name])
-            await asyncio.sleep(LOOK_S)
-
-    async def handle(self, ask: Page) -> Page:
-        """Mark an endpoint, or give the counts."""
-        if ask["do"] == "mark":
-            proxy = self.members[ask["name"]]
-            at = time.monotonic()
-            proxy.marks.set_down(ask["endpoint"], "test mark", ask["name"])
-            return {"at": at, "key": timelines.down_key(ask["endpoint"])}
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
+
+    async def handle(self, request: JsonObject) -> JsonObject:
+        """Mark an endpoint as down, or return the counts."""
+        if request["do"] == "mark":
+            proxy = self.members[request["name"]]
+            started_at = time.monotonic()
+            proxy.marks.set_down(request["endpoint"], "test mark", request["name"])
+            return {"at": started_at, "key": timelines.down_key(request["endpoint"])}
         counts: dict[str, int] = {}
         for proxy in self.members.values():
-            for key, by in proxy.meter.counts.items():
-                counts[key] = counts.get(key, 0) + by
+            for key, amount in proxy.meter.counts.items():
+                counts[key] = counts.get(key, 0) + amount
         unready = sum(1 for p in self.members.values() if p.ready() is not None)
         member_timelines = [p.timeline for p in self.members.values()]
-        held = {
+        entry_counts = {
             kind: sum(t.count(kind) for t in member_timelines) / len(member_timelines)
             for kind in timelines.KINDS
         }
-        return {"counts": counts, "unready": unready, "frozen": self._frozen, "held": held}
+        return {"counts": counts, "unready": unready, "frozen": self._frozen, "held": entry_counts}
 
 
 class Endpoints:
-    """Hollow endpoints: they beat to registries and answer probes."""
+    """Stand-in endpoints that send heartbeats to registries and answer probes."""
 
     def __init__(self, spec: Spec, write: typing.Callable[[list[typing.Any]], None]) -> None:
         self._rng = random.Random(spec["seed"])
-        self._net = CountNetwork(real.RealNetwork())
+        self._net = CountingNetwork(real.RealNetwork())
         self._members: dict[str, endpoints.Endpoint] = {}
-        for raw in spec["members"]:
-            # Each has pipes of its own, as processes of their own would.
+        for member_spec in spec["members"]:
+            # Each has its own connections, as separate processes would.
             machine = real.machine()._replace(net=self._net, web=fleets.LightWeb(self._net))
-            self._members[raw["name"]] = endpoints.Endpoint(
-                raw["name"],
-                raw["service"],
-                raw["address"],
-                raw["zone"],
+            self._members[member_spec["name"]] = endpoints.Endpoint(
+                member_spec["name"],
+                member_spec["service"],
+                member_spec["address"],
+                member_spec["zone"],
                 machine,
                 lambda: spec["registries"],
                 self._rng,
@@ -211,50 +211,50 @@
         async with asyncio.TaskGroup() as group:
             for member in self._members.values():
                 await member.open()
-                group.create_task(self._beat(member))
+                group.create_task(self._heartbeat_after_delay(member))
 
-    async def _beat(self, member: endpoints.Endpoint) -> None:
-        # Endpoints that all beat at the same moment are no fleet.
+    async def _heartbeat_after_delay(self, member: endpoints.Endpoint) -> None:
+        # In a real fleet, endpoints don't all send heartbeats at the same moment.
         await asyncio.sleep(self._rng.random() * self._interval_s)
         await member.send_heartbeats()
 
-    async def handle(self, ask: Page) -> Page:
-        """Have an endpoint leave, or give the counts."""
-        if ask["do"] == "leave":
-            at = time.monotonic()
-            return {"at": at, "heard": await self._members[ask["name"]].leave()}
-        return {"counts": dict(self._net.events)}
+    async def handle(self, request: JsonObject) -> JsonObject:
+        """Let an endpoint leave, or return the counts."""
+        if request["do"] == "leave":
+            started_at = time.monotonic()
+            return {"at": started_at, "heard": await self._members[request["name"]].leave()}
+        return {"counts": dict(self._net.counts)}
 
 
 class Relay:
-    """Bare pipes to an endpoint: the least that anything in Python between two sockets costs."""
+    """A plain TCP relay to an endpoint: the minimum cost of anything in Python between two sockets."""
 
     def __init__(self, spec: Spec) -> None:
         self._members = spec["members"]
         self._net = real.RealNetwork()
 
     async def run(self) -> None:
-        """Listen for ever."""
-        for raw in self._members:
-            await self._net.listen(raw["address"], self._bring(raw["target"]))
+        """Listen until cancelled."""
+        for member_spec in self._members:
+            await self._net.listen(member_spec["address"], self._forward_to(member_spec["target"]))
         await asyncio.Event().wait()
 
-    def _bring(self, driver: str) -> ports.Serve:
+    def _forward_to(self, target: str) -> ports.Serve:
         async def serve(connection: ports.Connection) -> None:
-            there = await self._net.connect(ports.address_of(driver), 1.0)
+            upstream = await self._net.connect(ports.address_of(target), 1.0)
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(connection, there))
-                group.create_task(self._pump(there, connection))
+                group.create_task(self._pump(connection, upstream))
+                group.create_task(self._pump(upstream, connection))
 
         return serve
 
-    async def _pump(self, one: ports.Connection, two: ports.Connection) -> None:
-        while part := await one.read(real.READ_SIZE):
-            await two.write(part)
-        two.close()
+    async def _pump(self, source: ports.Connection, sink: ports.Connection) -> None:
+        while data := await source.read(real.READ_SIZE):
+            await sink.write(data)
+        sink.close()
 
-    async def handle(self, ask: Page) -> Page:
-        """Nothing can be asked of a relay."""
+    async def handle(self, request: JsonObject) -> JsonObject:
+        """Return an empty reply, since a relay has no requests."""
         return {}
 
 
@@ -264,37 +264,39 @@
     return Proxies(spec, write) if spec["kind"] == "proxy" else Endpoints(spec, write)
 
 
-async def _listen(members: Members) -> None:
-    """Answer the driver until it says stop or its end of the pipe closes."""
+async def _serve_driver(members: Members) -> None:
+    """Reply to the driver until it requests a stop or closes its end of the pipe."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        ask = json.loads(line)
-        if ask["do"] == "stop":
+        request = json.loads(line)
+        if request["do"] == "stop":
             return
-        print(json.dumps(await members.handle(ask)), flush=True)
+        print(json.dumps(await members.handle(request)), flush=True)
 
 
 async def serve(spec: Spec) -> None:
-    """Run a worker until told to stop, left alone, or out of time."""
-    # Opened once, before anything is served: nobody waits for it.
+    """Run a worker until the driver stops it or is gone, or the time limit is reached."""
+    # The blocking open is harmless, since nothing is served yet.
     print(json.dumps({"memory_mb": process_stats.read(os.getpid()).memory_mb}), flush=True)
-    with pathlib.Path(spec["events"]).open("a", buffering=1) as events:  # noqa: ASYNC230
+    with pathlib.Path(spec["events"]).open("a", buffering=1) as events_file:  # noqa: ASYNC230
 
         def write(line: list[typing.Any]) -> None:
-            events.write(json.dumps(line) + "\n")
+            events_file.write(json.dumps(line) + "\n")
 
         members = _make_members(spec, write)
-        work = asyncio.create_task(members.run())
-        driver = asyncio.create_task(_listen(members))
-        # Whatever comes first: the driver's word, a fault of the worker, the end of its time.
-        await asyncio.wait([work, driver], timeout=spec["span_s"], return_when=asyncio.FIRST_COMPLETED)
-        if work.done():
-            work.result()
-        for task in (work, driver):
+        members_task = asyncio.create_task(members.run())
+        driver_task = asyncio.create_task(_serve_driver(members))
+        # Ends with whichever comes first: a stop by the driver, an error, or the time limit.
+        await asyncio.wait(
+            [members_task, driver_task], timeout=spec["span_s"], return_when=asyncio.FIRST_COMPLETED
+        )
+        if members_task.done():
+            members_task.result()
+        for task in (members_task, driver_task):
             task.cancel()
-        await asyncio.wait([work, driver], timeout=2)
+        await asyncio.wait([members_task, driver_task], timeout=2)
 
 
 if __name__ == "__main__":
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Scale tests: slopes, the page against its records, and a small fleet of real processes."""
+"""Tests of the scale package: fits, the page and its records, and a small fleet of real processes."""
 
 import asyncio
 import pathlib
@@ -27,27 +27,27 @@
     return {"turn": turn, "size": size, "value": value}
 
 
-def _told(record: fits.Record) -> float:
+def _value_of(record: fits.Record) -> float:
     return float(record["value"])
 
 
 def test_slopes_are_found_again_and_carried_to_a_size() -> None:
-    points = [(n, e) for n in (2, 4, 8) for e in (10, 20, 40)]
-    records = [_record(t, 5 + 2 * n + 3 * n * e, nodes=n, endpoints=e) for n, e in points for t in (1, 2)]
+    samples = [(n, e) for n in (2, 4, 8) for e in (10, 20, 40)]
+    records = [_record(t, 5 + 2 * n + 3 * n * e, nodes=n, endpoints=e) for n, e in samples for t in (1, 2)]
     terms = ("1", "nodes", "endpoints", "nodes*endpoints")
     sizes = {"nodes": 100.0, "endpoints": 1000.0}
-    found = fits.extrapolate(records, _told, terms, sizes)
-    assert abs(found.value - (5 + 200 + 300000)) < 1
-    assert found.fit.spread < 1e-6
-    assert abs(found.least - found.most) < 1
+    extrapolation = fits.extrapolate(records, _value_of, terms, sizes)
+    assert abs(extrapolation.value - (5 + 200 + 300000)) < 1
+    assert extrapolation.fit.spread < 1e-6
+    assert abs(extrapolation.minimum - extrapolation.maximum) < 1
 
 
 def test_no_slope_is_below_nothing() -> None:
-    # What falls as the fleet grows is the machine's doing: it must not pay for another term.
+    # A cost that falls as the fleet grows comes from the machine and must not offset another term.
     records = [_record(1, 100.0 - n, nodes=n) for n in (2.0, 4.0, 8.0)]
-    found = fits.fit(records, _told, ("1", "nodes"))
-    assert min(found.slopes) >= 0
-    assert found.at({"nodes": 1000.0}) > 0
+    fit = fits.fit(records, _value_of, ("1", "nodes"))
+    assert min(fit.slopes) >= 0
+    assert fit.value_at({"nodes": 1000.0}) > 0
 
 
 def test_terms_are_products_and_parts() -> None:
@@ -56,9 +56,9 @@
 
 
 def test_the_page_says_what_its_records_say() -> None:
-    book = datasets.load(datasets.read(ROOT / "docs" / "capacity"))
+    data = datasets.load(datasets.read(ROOT / "docs" / "capacity"))
     page = PAGE.read_text()
-    assert reports.fill(page, book) == page
+    assert reports.fill(page, data) == page
 
 
 @pytest.mark.parametrize("command", ["scale", "hollow"])
@@ -89,17 +89,17 @@
 
 def test_no_figure_on_the_page_is_typed_by_hand() -> None:
     prose = reports.prose(PAGE.read_text())
-    # Numbers of list items and the names of quantiles are no figures.
+    # Numbers of list items and names of quantiles aren't figures.
     prose = re.sub(r"(?m)^\d+\. ", "", prose).replace("p50", "").replace("p99", "")
     assert re.findall(r".*\d.*", prose) == []
 
 
-class _End:
-    """One end of a pipe between two of ours."""
+class _ConnectionEnd:
+    """One end of an in-memory connection."""
 
     def __init__(self) -> None:
         self._parts: asyncio.Queue[bytes] = asyncio.Queue()
-        self.other: _End | None = None
+        self.other: _ConnectionEnd | None = None
 
     async def read(self, max_bytes: int) -> bytes:
         return await self._parts.get()
@@ -116,18 +116,18 @@
         return False
 
 
-class _Net:
-    """Each dial reaches one ear."""
+class _Network:
+    """A network in which every connection reaches the same server."""
 
     def __init__(self, server: frames.CallServer) -> None:
         self._server = server
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def connect(self, address: str, timeout_s: float) -> ports.Connection:
-        one, two = _End(), _End()
-        one.other, two.other = two, one
-        self._tasks.add(asyncio.create_task(self._server.serve(two)))
-        return one
+        client_end, server_end = _ConnectionEnd(), _ConnectionEnd()
+        client_end.other, server_end.other = server_end, client_end
+        self._tasks.add(asyncio.create_task(self._server.serve(server_end)))
+        return client_end
 
     async def listen(self, address: str, serve: ports.Serve) -> ports.Listener:
         raise NotImplementedError
@@ -138,16 +138,16 @@
         async def echo(body: frames.Body) -> frames.Result:
             return outcome.Success({"back": body["text"]})
 
-        here, there = frames.CallCounters(), frames.CallCounters()
-        net = _Net(frames.CallServer({"echo": echo}, lambda event, what: None, there))
-        call_client = frames.CallClient(net, here)
+        client_counters, server_counters = frames.CallCounters(), frames.CallCounters()
+        network = _Network(frames.CallServer({"echo": echo}, lambda event, what: None, server_counters))
+        call_client = frames.CallClient(network, client_counters)
         for text in ("a", "b" * 1000):
             await call_client.call(ports.Address("x"), "echo", {"text": text}, 5.0)
-        # A kind that nobody serves is told under one name: it is the sender's word.
+        # Kinds without a handler are counted under one name, since the sender chooses the name.
         await call_client.call(ports.Address("x"), "nonsense", {}, 5.0)
         await asyncio.sleep(0)
-        asked = {k.removeprefix("frames_asked_"): v for k, v in here.counts.items()}
-        heard = {k.removeprefix("frames_heard_"): v for k, v in there.counts.items()}
+        asked = {k.removeprefix("frames_asked_"): v for k, v in client_counters.counts.items()}
+        heard = {k.removeprefix("frames_heard_"): v for k, v in server_counters.counts.items()}
         assert asked["echo_calls"] == heard["echo_calls"] == 2
         assert asked["echo_sent_bytes"] == heard["echo_got_bytes"] > 1000
         assert asked["echo_got_bytes"] == heard["echo_sent_bytes"] > 1000
@@ -157,19 +157,21 @@
     asyncio.run(main())
 
 
-async def _small() -> None:
+async def _run_small_fleet() -> None:
     size = sizes.Size(nodes=4, endpoints=4, services=2, rules=5)
-    async with testbeds.standing(size, 1) as testbed:
-        up = await testbed.start()
-        assert up["count"] == 3
+    async with testbeds.running_testbed(size, 1) as testbed:
+        startup = await testbed.start()
+        assert startup["count"] == 3
         clock = testbed.fleet.machine.clock
-        begun = clock.now()
-        version, _ = await testbed.change()
-        _, name = await testbed.leave(0)
-        _, key = await testbed.mark(1)
+        started_at = clock.now()
+        version, _ = await testbed.change_layout()
+        _, name = await testbed.leave_endpoint(0)
+        _, key = await testbed.mark_endpoint(1)
         wanted = {"layout": version, "left": name, "mark": key}
-        while not all(len(testbed.seen(kind, begun).get(what, {})) == 3 for kind, what in wanted.items()):
-            assert clock.now() - begun < 30
+        while not all(
+            len(testbed.first_seen(kind, started_at).get(what, {})) == 3 for kind, what in wanted.items()
+        ):
+            assert clock.now() - started_at < 30
             await clock.sleep(0.05)
         counts = await testbed.counts()
         assert counts[sizes.HEADLESS][0]["frames_asked_poll_sent_bytes"] > 0
@@ -181,4 +183,4 @@
 
 
 def test_a_small_fleet_starts_hears_and_ends() -> None:
-    asyncio.run(_small())
+    asyncio.run(_run_small_fleet())
