--- a/packages/cli/src/dykeswitch/cli/explore.py
+++ b/packages/cli/src/dykeswitch/cli/explore.py
@@ -24,7 +24,7 @@
     """The command and its flags."""
     text = "explore orders of messages, faults and restarts of the register; exit code 1 on a violation"
     sub = words.add_parser(WORD, help=text, description=text)
-    names = "; ".join(f"{scope.name}: {scope.text}" for scope in scopes.SCOPES.values())
+    names = "; ".join(f"{scope.name}: {scope.description}" for scope in scopes.SCOPES.values())
     sub.add_argument("--scope", choices=list(scopes.SCOPES), help=names)
     sub.add_argument("--seed", type=int, default=1, help="of the random schedules (default 1)")
     text = "for each of the two searches, the exhaustive and the random one (default 60)"
@@ -74,7 +74,7 @@
     print(f"{traces.COMMENT} {scope.name} {form}: {json.dumps(page)}", flush=True)
     if found is None:
         return EXIT_CLEAN
-    sys.stderr.write(f"{found.what}: shrinking a trace of {len(found.trace)} events\n")
+    sys.stderr.write(f"{found.message}: shrinking a trace of {len(found.trace)} events\n")
     print(traces.write(scope, form, replay.shrink(traces.plan_of(scope, form), found)), end="")
     return EXIT_VIOLATION
 
--- a/packages/explorer/src/dykeswitch/explorer/calls.py
+++ b/packages/explorer/src/dykeswitch/explorer/calls.py
@@ -23,7 +23,7 @@
     BROKEN = "broken"
 
 
-@fingerprint.leave_out
+@fingerprint.exclude_from_fingerprint
 @dataclasses.dataclass(eq=False)
 class Call:
     """One call on its way."""
@@ -43,7 +43,7 @@
         self.target_only = frozenset({self.target.name})
         self.both_ends = self.source_only | self.target_only
 
-    def settle(self, result: frames.Result) -> None:
+    def resolve(self, result: frames.Result) -> None:
         """Hand the caller its result, if it still waits."""
         if self.future is not None and not self.future.done() and self.source.up:
             self.future.set_result(result)
@@ -58,7 +58,7 @@
 Send = typing.Callable[[hosts.Host, str, str, frames.Body], asyncio.Future[frames.Result]]
 
 
-@fingerprint.leave_out
+@fingerprint.exclude_from_fingerprint
 class ModelCallClient(frames.CallClient):
     """Makes calls by way of the model."""
 
@@ -80,13 +80,13 @@
     else:
         try:
             result = await handler(cbor2.loads(call.body))
-        except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError) as flaw:
-            result = outcome.failure("bad_frame", f"{type(flaw).__name__}: {flaw}")
-    call.reply = over_the_wire(result)
+        except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError) as error:
+            result = outcome.failure("bad_frame", f"{type(error).__name__}: {error}")
+    call.reply = round_trip_encoding(result)
     call.phase = Phase.REPLY
 
 
-def over_the_wire(result: frames.Result) -> frames.Result:
+def round_trip_encoding(result: frames.Result) -> frames.Result:
     """A result as its caller reads it."""
     if isinstance(result, outcome.Success):
         body: frames.Body = cbor2.loads(cbor2.dumps(result.value))
@@ -96,23 +96,23 @@
 
 def describe(source: str, target: str, kind: str, body: frames.Body) -> str:
     """A call in a few words."""
-    words = [f"{source}->{target}", kind]
+    parts = [f"{source}->{target}", kind]
     if "key" in body:
-        words.append(str(body["key"]))
+        parts.append(str(body["key"]))
     if "ballot" in body:
         count, name = body["ballot"]
-        words.append(f"ballot {count}.{name}")
+        parts.append(f"ballot {count}.{name}")
     if "value" in body:
-        version, held = body["value"][:2]
-        words.append(f"version {version} {_short(held)}")
+        version, body_bytes = body["value"][:2]
+        parts.append(f"version {version} {_short(body_bytes)}")
     if "set" in body:
-        words.append(f"set {body['set'][0]}")
+        parts.append(f"set {body['set'][0]}")
     if "epoch" in body:
-        words.append(f"epoch {body['epoch']}")
+        parts.append(f"epoch {body['epoch']}")
     for name in ("order", "name", "want"):
         if name in body:
-            words.append(f"{name} {body[name]}")
-    return " ".join(words)
+            parts.append(f"{name} {body[name]}")
+    return " ".join(parts)
 
 
 def _short(body: bytes) -> str:
--- a/packages/explorer/src/dykeswitch/explorer/choices.py
+++ b/packages/explorer/src/dykeswitch/explorer/choices.py
@@ -15,8 +15,8 @@
 
 def enabled(world: "worlds.World") -> list[events.Event]:
     """Every event that can happen now, the usual ones first."""
-    if world.unsettled is not None:
-        return _remains(world, world.unsettled)
+    if world.pending_power_loss is not None:
+        return _power_loss_events(world, world.pending_power_loss)
     found: list[events.Event] = []
     for call in world.calls:
         found += _call_events(world, call)
@@ -25,48 +25,48 @@
     for host in world.hosts.values():
         found += _host_events(world, host)
     found += _cut_events(world)
-    if world.settings.prompt_replies:
-        found = _with_callers(world, found)
-    out_of_turn = _out_of_turn(world)
-    if out_of_turn:
-        found = [event for event in found if not event.hosts & out_of_turn]
-    return events.numbered(sorted(found, key=events.usual_first))
+    if world.settings.immediate_replies:
+        found = _with_waiting_hosts(world, found)
+    skipped = _skipped_by_symmetry(world)
+    if skipped:
+        found = [event for event in found if not event.hosts & skipped]
+    return events.with_unique_keys(sorted(found, key=events.search_order))
 
 
-def _out_of_turn(world: "worlds.World") -> frozenset[str]:
+def _skipped_by_symmetry(world: "worlds.World") -> frozenset[str]:
     """Stores like another that comes first: to begin with them leads to a state like its."""
-    untouched = [name for name in world.settings.alike if name not in world.touched]
+    untouched = [name for name in world.settings.interchangeable if name not in world.touched]
     return frozenset(untouched[1:])
 
 
-def _left(world: "worlds.World", kind: events.Kind) -> bool:
-    return world.settings.budget.get(kind, 0) > world.spent.get(kind, 0)
+def _has_budget(world: "worlds.World", kind: events.Kind) -> bool:
+    return world.settings.budget.get(kind, 0) > world.used_budget.get(kind, 0)
 
 
 def _call_events(world: "worlds.World", call: calls.Call) -> list[events.Event]:
     both = call.both_ends
-    usual = _usual_call_event(world, call)
-    found = [] if usual is None else [usual]
+    event = _fault_free_event(world, call)
+    found = [] if event is None else [event]
     if call.future is None or call.phase is calls.Phase.BROKEN:
         return found
-    if _left(world, events.Kind.LOSE) and call.phase is not calls.Phase.RUNNING:
+    if _has_budget(world, events.Kind.LOSE) and call.phase is not calls.Phase.RUNNING:
         lose = functools.partial(world.lose, call)
         found.append(events.event(events.Kind.LOSE, call.label, both, lose, True, call.state))
     if call.phase is calls.Phase.REPLY:
         return found
-    if _left(world, events.Kind.GIVE_UP):
+    if _has_budget(world, events.Kind.GIVE_UP):
         give_up = functools.partial(world.give_up, call)
         found.append(events.event(events.Kind.GIVE_UP, call.label, both, give_up, True, call.state))
-    if _left(world, events.Kind.DUPLICATE) and call.phase is calls.Phase.REQUEST:
+    if _has_budget(world, events.Kind.DUPLICATE) and call.phase is calls.Phase.REQUEST:
         duplicate = functools.partial(world.duplicate, call)
         found.append(events.event(events.Kind.DUPLICATE, call.label, both, duplicate, True, call.state))
     return found
 
 
-def _usual_call_event(world: "worlds.World", call: calls.Call) -> events.Event | None:
+def _fault_free_event(world: "worlds.World", call: calls.Call) -> events.Event | None:
     """What becomes of a call where no fault strikes."""
-    there, back = (call.source.name, call.target.name), (call.target.name, call.source.name)
-    if (back if call.phase is calls.Phase.REPLY else there) in world.cuts:
+    request_link, reply_link = (call.source.name, call.target.name), (call.target.name, call.source.name)
+    if (reply_link if call.phase is calls.Phase.REPLY else request_link) in world.cuts:
         if call.future is None:
             return None
         give_up = functools.partial(world.give_up, call)
@@ -75,81 +75,93 @@
         lose = functools.partial(world.lose, call)
         return events.event(events.Kind.REFUSE, call.label, call.both_ends, lose, False, call.state)
     if call.phase is calls.Phase.REQUEST:
-        deliver = functools.partial(world.deliver, call)
-        at = call.both_ends if world.settings.prompt_replies else call.target_only
-        return events.event(events.Kind.DELIVER, call.label, at, deliver, False, call.state)
+        deliver_request = functools.partial(world.deliver_request, call)
+        affected = call.both_ends if world.settings.immediate_replies else call.target_only
+        return events.event(events.Kind.DELIVER, call.label, affected, deliver_request, False, call.state)
     if call.phase is calls.Phase.REPLY:
-        answer = functools.partial(world.answer, call)
-        return events.event(events.Kind.ANSWER, call.label, call.source_only, answer, False, call.state)
+        deliver_reply = functools.partial(world.deliver_reply, call)
+        return events.event(
+            events.Kind.ANSWER, call.label, call.source_only, deliver_reply, False, call.state
+        )
     return None
 
 
 def _disk_events(world: "worlds.World", store: nodes.Store) -> list[events.Event]:
     found: list[events.Event] = []
-    at = frozenset({store.host.name})
-    if store.disk.waiting and store.host.up:
-        found.append(events.event(events.Kind.WRITE, store.host.name, at, store.disk.do_next))
+    affected = frozenset({store.host.name})
+    if store.disk.pending and store.host.up:
+        found.append(events.event(events.Kind.WRITE, store.host.name, affected, store.disk.run_next))
     may_lose_power = store.host.name in world.settings.may_lose_power
-    if store.host.up and may_lose_power and _left(world, events.Kind.POWER):
-        for step in range(disks.MOST_STEPS if store.disk.waiting else 1):
+    if store.host.up and may_lose_power and _has_budget(world, events.Kind.POWER):
+        for step in range(disks.MAX_STEPS if store.disk.pending else 1):
             label = f"{store.host.name} after step {step}"
             found.append(
                 events.event(
-                    events.Kind.POWER, label, at, functools.partial(world.lose_power, store, step), True
+                    events.Kind.POWER, label, affected, functools.partial(world.lose_power, store, step), True
                 )
             )
     return found
 
 
 def _host_events(world: "worlds.World", host: hosts.Host) -> list[events.Event]:
-    at = frozenset({host.name})
+    affected = frozenset({host.name})
     found: list[events.Event] = []
     if host.up:
         if host.earliest_timer() is not None:
-            found.append(events.event(events.Kind.TIMER, host.name, at, lambda: world.fire_timer(host)))
-        if host.name in world.settings.may_crash and _left(world, events.Kind.CRASH):
-            found.append(events.event(events.Kind.CRASH, host.name, at, lambda: world.stop_host(host), True))
+            found.append(events.event(events.Kind.TIMER, host.name, affected, lambda: world.fire_timer(host)))
+        if host.name in world.settings.may_crash and _has_budget(world, events.Kind.CRASH):
+            found.append(
+                events.event(events.Kind.CRASH, host.name, affected, lambda: world.stop_host(host), True)
+            )
         return found
-    found.append(events.event(events.Kind.RESTART, host.name, at, lambda: world.restart(host.name)))
-    if host.name in world.settings.may_wipe and _left(world, events.Kind.WIPE):
-        found.append(events.event(events.Kind.WIPE, host.name, at, lambda: world.wipe(host.name), True))
+    found.append(events.event(events.Kind.RESTART, host.name, affected, lambda: world.restart(host.name)))
+    if host.name in world.settings.may_wipe and _has_budget(world, events.Kind.WIPE):
+        found.append(events.event(events.Kind.WIPE, host.name, affected, lambda: world.wipe(host.name), True))
     return found
 
 
 def _cut_events(world: "worlds.World") -> list[events.Event]:
     found: list[events.Event] = []
-    for one, other in sorted(world.cuts - world.lasting_cuts):
-        at = frozenset({one, other})
-        label = f"{one}->{other}"
-        found.append(events.event(events.Kind.HEAL, label, at, functools.partial(world.heal, (one, other))))
-    if _left(world, events.Kind.CUT):
-        for one, other in sorted(world.settings.may_cut - world.cuts):
-            at = frozenset({one, other})
-            label = f"{one}->{other}"
+    for source, target in sorted(world.cuts - world.permanent_cuts):
+        affected = frozenset({source, target})
+        label = f"{source}->{target}"
+        found.append(
+            events.event(events.Kind.HEAL, label, affected, functools.partial(world.heal, (source, target)))
+        )
+    if _has_budget(world, events.Kind.CUT):
+        for source, target in sorted(world.settings.may_cut - world.cuts):
+            affected = frozenset({source, target})
+            label = f"{source}->{target}"
             found.append(
-                events.event(events.Kind.CUT, label, at, functools.partial(world.cut, (one, other)), True)
+                events.event(
+                    events.Kind.CUT, label, affected, functools.partial(world.cut, (source, target)), True
+                )
             )
     return found
 
 
-def _remains(world: "worlds.World", power_loss: nodes.PowerLoss) -> list[events.Event]:
+def _power_loss_events(world: "worlds.World", power_loss: nodes.PowerLoss) -> list[events.Event]:
     """Whether the next of the unsynced changes is kept or lost."""
-    at = frozenset({power_loss.store.host.name})
-    label = f"{power_loss.store.host.name} {power_loss.loose[0].text()}"
+    affected = frozenset({power_loss.store.host.name})
+    label = f"{power_loss.store.host.name} {power_loss.undecided[0].text()}"
     return [
-        events.event(events.Kind.KEEP, label, at, lambda: world.decide(True)),
-        events.event(events.Kind.DROP, label, at, lambda: world.decide(False)),
+        events.event(events.Kind.KEEP, label, affected, lambda: world.decide_change(True)),
+        events.event(events.Kind.DROP, label, affected, lambda: world.decide_change(False)),
     ]
 
 
-def _with_callers(world: "worlds.World", found: list[events.Event]) -> list[events.Event]:
+def _with_waiting_hosts(world: "worlds.World", found: list[events.Event]) -> list[events.Event]:
     """The events with all hosts that a prompt reply, or a reply to that, may come to."""
     running = [call for call in world.calls if call.phase is calls.Phase.RUNNING]
-    return [event._replace(hosts=_callers(event.hosts, running)) for event in found] if running else found
+    return (
+        [event._replace(hosts=_waiting_closure(event.hosts, running)) for event in found]
+        if running
+        else found
+    )
 
 
-def _callers(names: frozenset[str], running: list[calls.Call]) -> frozenset[str]:
+def _waiting_closure(names: frozenset[str], running: list[calls.Call]) -> frozenset[str]:
     """Hosts, those that wait for a reply of theirs, those that wait for them, and so on."""
-    while more := frozenset(c.source.name for c in running if c.target.name in names) - names:
-        names |= more
+    while waiting := frozenset(c.source.name for c in running if c.target.name in names) - names:
+        names |= waiting
     return names
--- a/packages/explorer/src/dykeswitch/explorer/clients.py
+++ b/packages/explorer/src/dykeswitch/explorer/clients.py
@@ -17,10 +17,10 @@
 
 KEY: typing.Final = "layout"
 ORDER_CALL: typing.Final = "order"
-NEWS_CALL: typing.Final = "news"
-TIMELINE_LIFE: typing.Final = 1000.0
+VERSION_CALL: typing.Final = "news"
+TIMELINE_RETENTION_S: typing.Final = 1000.0
 # For how long a store must be silent before it is replaced.
-SWAP_SECONDS: typing.Final = settings.Settings().disk_replace_after_s + 1.0
+REPLACE_AFTER_S: typing.Final = settings.Settings().disk_replace_after_s + 1.0
 
 
 def order_step(order: str, body: bytes, expected: int | None) -> proposers.Step:
@@ -42,32 +42,32 @@
     """Change a key on behalf of an operator at this registry; the version made, if acknowledged."""
     history = registry.world.history
     client = registry.host.name
-    number = history.number_for(client)
+    number = history.next_number_for(client)
     operation = histories.Operation(
         client, number, histories.Kind.ORDER, key, order=order, body=body, expected=expected
     )
-    history.ask(operation)
+    history.record_request(operation)
     assert registry.proposer is not None
     result = await registry.proposer.change(key, order_step(order, body, expected))
     if isinstance(result, outcome.Success):
-        registry.world.note_told(key, result.value)
-    tell_order(registry.world, operation, result)
+        registry.world.record_reported(key, result.value)
+    record_order_result(registry.world, operation, result)
     return operation.version
 
 
-def tell_order(world: worlds.World, operation: histories.Operation, result: proposers.Read) -> None:
+def record_order_result(world: worlds.World, operation: histories.Operation, result: proposers.Read) -> None:
     """Note what an operator is told of an order."""
     if isinstance(result, outcome.Success):
         version = result.value.version_of(operation.order)
         if version is None:
-            world.violate(f"I5 {operation.order} is acknowledged and not among the changes made")
+            world.record_violation(f"I5 {operation.order} is acknowledged and not among the changes made")
         else:
-            world.history.tell(operation, histories.Answer.ACKNOWLEDGED, version)
+            world.history.record_answer(operation, histories.Answer.ACKNOWLEDGED, version)
         return
-    world.history.tell(operation, answer_of(result))
+    world.history.record_answer(operation, answer_for_failure(result))
 
 
-def answer_of(failure: outcome.Failure) -> histories.Answer:
+def answer_for_failure(failure: outcome.Failure) -> histories.Answer:
     """What a bad outcome tells an operator."""
     if failure.code.tag == "lost_race":
         return histories.Answer.REFUSED
@@ -81,16 +81,16 @@
     """Read a key on behalf of an operator at this registry, and note what it is told."""
     history = registry.world.history
     client = registry.host.name
-    operation = histories.Operation(client, history.number_for(client), histories.Kind.READ, key)
-    history.ask(operation)
+    operation = histories.Operation(client, history.next_number_for(client), histories.Kind.READ, key)
+    history.record_request(operation)
     assert registry.proposer is not None
     result = await registry.proposer.read(key)
     if isinstance(result, outcome.Success):
         value = result.value
-        registry.world.note_told(key, value)
-        history.tell(operation, histories.Answer.READ, value.version, value.body)
+        registry.world.record_reported(key, value)
+        history.record_answer(operation, histories.Answer.READ, value.version, value.body)
     else:
-        history.tell(operation, answer_of(result))
+        history.record_answer(operation, answer_for_failure(result))
 
 
 def serve_orders(registry: nodes.Registry) -> None:
@@ -103,7 +103,7 @@
         result = await registry.proposer.change(str(body["key"]), step)
         if isinstance(result, outcome.Failure):
             return result
-        registry.world.note_told(str(body["key"]), result.value)
+        registry.world.record_reported(str(body["key"]), result.value)
         return outcome.Success({"version": result.value.version_of(order)})
 
     registry.serve({ORDER_CALL: handle})
@@ -117,22 +117,22 @@
     client = operator.host.name
     operation = histories.Operation(
         client,
-        history.number_for(client),
+        history.next_number_for(client),
         histories.Kind.ORDER,
         key,
         order=order,
         body=body,
         expected=expected,
     )
-    history.ask(operation)
-    ask: frames.Body = {"key": key, "order": order, "body": body, "expected": expected}
+    history.record_request(operation)
+    request: frames.Body = {"key": key, "order": order, "body": body, "expected": expected}
     address = operator.world.address(target)
-    result = await operator.call_client().call(address, ORDER_CALL, ask, nodes.CALL_WAIT)
+    result = await operator.call_client().call(address, ORDER_CALL, request, nodes.CALL_TIMEOUT_S)
     if isinstance(result, outcome.Success):
-        history.tell(operation, histories.Answer.ACKNOWLEDGED, int(result.value["version"]))
+        history.record_answer(operation, histories.Answer.ACKNOWLEDGED, int(result.value["version"]))
         return True
-    answer = answer_of(result)
-    history.tell(operation, answer)
+    answer = answer_for_failure(result)
+    history.record_answer(operation, answer)
     return answer is histories.Answer.REFUSED
 
 
@@ -141,7 +141,7 @@
 ) -> reconfigurations.Reconfiguration:
     """The member set's keeper at this registry."""
     config = settings.Settings(name=registry.host.name, founders=tuple(founders))
-    made = reconfigurations.Reconfiguration(
+    reconfiguration = reconfigurations.Reconfiguration(
         registry.host.name,
         config,
         registry.machine(),
@@ -149,8 +149,8 @@
         proposer,
         lambda event, what: None,
     )
-    registry.host.memory.append(made)
-    return made
+    registry.host.memory.append(reconfiguration)
+    return reconfiguration
 
 
 async def _read_any(name: str, version: int, data: bytes) -> documents.Apply | None:
@@ -159,21 +159,25 @@
 
 def make_documents(registry: nodes.Registry) -> tuple[documents.Documents, timelines.Timeline]:
     """The documents that this host holds and hands on, and the timeline they are named on."""
-    timeline = timelines.Timeline(registry.host.name, registry.clock(), TIMELINE_LIFE)
-    made = documents.Documents(timeline, registry.call_client(), nodes.CALL_WAIT, _read_any)
-    registry.host.memory.append(made)
-    registry.versions = lambda: {name: made.version(name) for name in documents.NAMES}
-    return made, timeline
+    timeline = timelines.Timeline(registry.host.name, registry.clock(), TIMELINE_RETENTION_S)
+    local_documents = documents.Documents(timeline, registry.call_client(), nodes.CALL_TIMEOUT_S, _read_any)
+    registry.host.memory.append(local_documents)
+    registry.document_versions = lambda: {name: local_documents.version(name) for name in documents.NAMES}
+    return local_documents, timeline
 
 
-def news_handlers(
-    held: documents.Documents, timeline: timelines.Timeline, addresses: typing.Sequence[ports.Address]
+def version_handlers(
+    local_documents: documents.Documents,
+    timeline: timelines.Timeline,
+    addresses: typing.Sequence[ports.Address],
 ) -> dict[str, frames.Handler]:
     """Hear which version there is of the layout, and fetch it from these members."""
 
     async def handle(body: frames.Body) -> frames.Result:
-        timeline.write(timelines.DOCUMENT, documents.LAYOUT, {"version": body["version"]}, TIMELINE_LIFE)
-        await held.catch_up(addresses)
+        timeline.write(
+            timelines.DOCUMENT, documents.LAYOUT, {"version": body["version"]}, TIMELINE_RETENTION_S
+        )
+        await local_documents.catch_up(addresses)
         return outcome.Success({})
 
-    return {NEWS_CALL: handle}
+    return {VERSION_CALL: handle}
--- a/packages/explorer/src/dykeswitch/explorer/events.py
+++ b/packages/explorer/src/dykeswitch/explorer/events.py
@@ -45,7 +45,7 @@
     hosts: frozenset[str]
     perform: typing.Callable[[], None]
     # False where it is free: a call over a cut connection is given up on at no cost.
-    costs: bool = False
+    uses_budget: bool = False
     # All that the event brings to its hosts, beyond its key.
     detail: typing.Callable[[], str] = str
 
@@ -55,19 +55,19 @@
     label: str,
     hosts: frozenset[str],
     perform: typing.Callable[[], None],
-    costs: bool = False,
+    uses_budget: bool = False,
     detail: typing.Callable[[], str] = str,
 ) -> Event:
     """An event, named by its kind and what it happens to."""
-    return Event(kind, f"{NAMES[kind]}: {label}", hosts, perform, costs, detail)
+    return Event(kind, f"{NAMES[kind]}: {label}", hosts, perform, uses_budget, detail)
 
 
-def usual_first(event: Event) -> tuple[bool, bool]:
+def search_order(event: Event) -> tuple[bool, bool]:
     """A sort key: answers first, faults last."""
-    return (event.costs, event.kind is not Kind.ANSWER)
+    return (event.uses_budget, event.kind is not Kind.ANSWER)
 
 
-def numbered(events: list[Event]) -> list[Event]:
+def with_unique_keys(events: list[Event]) -> list[Event]:
     """The events with a number behind each name that is not the first of its kind."""
     if len({event.key for event in events}) == len(events):
         return events
--- a/packages/explorer/src/dykeswitch/explorer/execution.py
+++ b/packages/explorer/src/dykeswitch/explorer/execution.py
@@ -28,14 +28,14 @@
     build: Build
     settings: nodes.Settings
     # An execution that has so many events is cut short; the figures tell how many were.
-    most_events: int = 400
+    max_events: int = 400
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
     """What broke, and the events that led to it."""
 
-    what: str
+    message: str
     trace: Trace
     history: tuple[str, ...]
 
@@ -63,47 +63,47 @@
 class Execution:
     """One execution from the start."""
 
-    def __init__(self, plan: Plan, known: dict[bytes, fingerprint.HostState] | None = None) -> None:
+    def __init__(self, plan: Plan, host_states: dict[bytes, fingerprint.HostState] | None = None) -> None:
         self._plan = plan
-        self._folder: pathlib.Path | None = None
+        self._scratch_folder: pathlib.Path | None = None
         if plan.settings.real_files:
-            self._folder = pathlib.Path(tempfile.mkdtemp(prefix="explore-"))
-        self.world = worlds.World(plan.settings, self._folder or pathlib.Path("none"), known)
+            self._scratch_folder = pathlib.Path(tempfile.mkdtemp(prefix="explore-"))
+        self.world = worlds.World(plan.settings, self._scratch_folder or pathlib.Path("none"), host_states)
         self.trace: list[str] = []
-        with self._storage():
+        with self._use_storage_class():
             plan.build(self.world)
             self.world.loop.run_until_idle()
 
-    def _storage(self) -> typing.ContextManager[None]:
+    def _use_storage_class(self) -> typing.ContextManager[None]:
         real = self._plan.settings.real_files
-        return records.storage_class(records.ObservedStorage if real else records.AtomicStorage)
+        return records.use_storage_class(records.ObservedStorage if real else records.AtomicStorage)
 
     def enabled(self) -> list[events.Event]:
         """What may happen next; nothing once an invariant is broken."""
         return [] if self.world.violation else choices.enabled(self.world)
 
-    def perform(self, event: events.Event, judge: bool = True) -> None:
+    def perform(self, event: events.Event, check_invariants: bool = True) -> None:
         """Let one event happen; it need not be judged where it was before."""
         self.trace.append(event.key)
-        answered = self.world.history.answered
-        with self._storage():
-            self.world.perform(event, judge)
+        answer_count_before = self.world.history.answer_count
+        with self._use_storage_class():
+            self.world.perform(event, check_invariants)
         if (
-            judge
-            and self.world.history.answered != answered
+            check_invariants
+            and self.world.history.answer_count != answer_count_before
             and not histories.linearizable(self.world.history)
         ):
-            self.world.violate("I9 no order of the operations explains their answers")
+            self.world.record_violation("I9 no order of the operations explains their answers")
 
     def violation(self) -> Violation | None:
         """What broke, if anything did."""
         if not self.world.violation:
             return None
-        told = tuple(operation.text() for _, operation in sorted(self.world.history.operations.items()))
-        return Violation(self.world.violation, tuple(self.trace), told)
+        operations = tuple(operation.text() for _, operation in sorted(self.world.history.operations.items()))
+        return Violation(self.world.violation, tuple(self.trace), operations)
 
     def close(self) -> None:
         """Free what the execution holds."""
         self.world.close()
-        if self._folder is not None:
-            shutil.rmtree(self._folder, ignore_errors=True)
+        if self._scratch_folder is not None:
+            shutil.rmtree(self._scratch_folder, ignore_errors=True)
--- a/packages/explorer/src/dykeswitch/explorer/exhaustive.py
+++ b/packages/explorer/src/dykeswitch/explorer/exhaustive.py
@@ -9,31 +9,31 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asleep:
+class SleepEntry:
     """An event that need not be taken: an order that begins with it was searched already."""
 
     hosts: frozenset[str]
-    fault: bool
+    uses_budget: bool
     # Whether a client asked or was told something by it: their order is what is judged.
-    asks: bool
-    tells: bool
+    has_request: bool
+    has_answer: bool
 
-    def commutes(self, other: "Asleep") -> bool:
+    def commutes_with(self, other: "SleepEntry") -> bool:
         """Whether both orders of two events lead to one state."""
-        if self.hosts & other.hosts or (self.fault and other.fault):
+        if self.hosts & other.hosts or (self.uses_budget and other.uses_budget):
             return False
-        return not (self.asks and other.tells) and not (self.tells and other.asks)
+        return not (self.has_request and other.has_answer) and not (self.has_answer and other.has_request)
 
 
-Sleep = dict[str, Asleep]
+SleepSet = dict[str, SleepEntry]
 
 
 @dataclasses.dataclass(slots=True)
 class _Node:
     """A state on the path that is being searched."""
 
-    sleep: Sleep
-    todo: list[str]
+    sleep_set: SleepSet
+    untried: list[str]
 
 
 class Exhaustive:
@@ -50,94 +50,104 @@
         self._plan = plan
         self._seconds = seconds
         self._progress = progress
-        self._seen: dict[bytes, frozenset[str]] = {}
-        self._known: dict[bytes, fingerprint.HostState] = {}
+        self._sleep_sets_by_state: dict[bytes, frozenset[str]] = {}
+        self._host_states: dict[bytes, fingerprint.HostState] = {}
         self._path: list[_Node] = []
-        self._taken: list[str] = []
+        self._path_keys: list[str] = []
         self.figures = executions.Figures()
 
-    def run(self, most_executions: int | None = None) -> executions.Figures:
+    def run(self, max_executions: int | None = None) -> executions.Figures:
         """Search until all is seen, something breaks, or time or executions are used up."""
-        begin, spent = time.monotonic(), time.process_time()
-        more = True
-        while more and self.figures.violation is None:
+        started_at, cpu_started_at = time.monotonic(), time.process_time()
+        has_more = True
+        while has_more and self.figures.violation is None:
             self._execute()
-            more = self._backtrack()
-            self.figures.seconds = time.monotonic() - begin
-            self.figures.processor_seconds = time.process_time() - spent
-            if self.figures.seconds > self._seconds or self.figures.executions == most_executions:
+            has_more = self._backtrack()
+            self.figures.seconds = time.monotonic() - started_at
+            self.figures.processor_seconds = time.process_time() - cpu_started_at
+            if self.figures.seconds > self._seconds or self.figures.executions == max_executions:
                 break
-        self.figures.complete = not more and self.figures.cut_short == 0
+        self.figures.complete = not has_more and self.figures.cut_short == 0
         return self.figures
 
     def _execute(self) -> None:
         """Take the path again and go on from its end to an end or to a state seen."""
         figures = self.figures
         figures.executions += 1
-        execution = executions.Execution(self._plan, self._known)
+        execution = executions.Execution(self._plan, self._host_states)
         try:
             if not self._path:
                 self._visit(execution, {})
-            for depth, key in enumerate(self._taken):
-                self._take(execution, key, depth)
-            while self._path[-1].todo:
-                if len(self._taken) >= self._plan.most_events:
+            for depth, key in enumerate(self._path_keys):
+                self._perform(execution, key, depth)
+            while self._path[-1].untried:
+                if len(self._path_keys) >= self._plan.max_events:
                     figures.cut_short += 1
-                    self._path[-1].todo.clear()
+                    self._path[-1].untried.clear()
                     break
-                self._taken.append(self._path[-1].todo.pop(0))
-                self._take(execution, self._taken[-1], len(self._taken) - 1)
+                self._path_keys.append(self._path[-1].untried.pop(0))
+                self._perform(execution, self._path_keys[-1], len(self._path_keys) - 1)
             figures.violation = execution.violation()
         finally:
             execution.close()
         if self._progress is not None and figures.executions % 200 == 0:
             self._progress(figures)
 
-    def _take(self, execution: executions.Execution, key: str, depth: int) -> None:
+    def _perform(self, execution: executions.Execution, key: str, depth: int) -> None:
         event = next(event for event in execution.enabled() if event.key == key)
         history = execution.world.history
-        asked, answered = history.asked, history.answered
-        fresh = depth + 1 == len(self._path)
-        answered_host = next(iter(event.hosts)) if fresh and event.kind is events.Kind.ANSWER else None
-        before = execution.world.host_state(answered_host) if answered_host is not None else None
-        execution.perform(event, judge=fresh)
+        requests_before, answers_before = history.request_count, history.answer_count
+        is_new = depth + 1 == len(self._path)
+        answered_host = next(iter(event.hosts)) if is_new and event.kind is events.Kind.ANSWER else None
+        state_before = execution.world.host_state(answered_host) if answered_host is not None else None
+        execution.perform(event, check_invariants=is_new)
         self.figures.events += 1
-        if not fresh:
+        if not is_new:
             return
-        this = Asleep(event.hosts, event.costs, history.asked > asked, history.answered > answered)
-        above = self._path[depth]
-        sleep = {name: other for name, other in above.sleep.items() if other.commutes(this)}
-        above.sleep[key] = this
-        if answered_host is not None and before is not None and not this.asks and not this.tells:
+        entry = SleepEntry(
+            event.hosts,
+            event.uses_budget,
+            history.request_count > requests_before,
+            history.answer_count > answers_before,
+        )
+        parent = self._path[depth]
+        sleep_set = {name: other for name, other in parent.sleep_set.items() if other.commutes_with(entry)}
+        parent.sleep_set[key] = entry
+        if (
+            answered_host is not None
+            and state_before is not None
+            and not entry.has_request
+            and not entry.has_answer
+        ):
             # An answer that nobody waits for changes nothing, so it may as well come first;
             # what else may become of the same call stays to be tried.
-            if execution.world.host_state(answered_host).lost_only_a_child(before):
-                call = key.partition(": ")[2]
-                above.todo = [other for other in above.todo if other.partition(": ")[2] == call]
-        self._visit(execution, sleep)
+            if execution.world.host_state(answered_host).only_child_finished(state_before):
+                call_label = key.partition(": ")[2]
+                parent.untried = [other for other in parent.untried if other.partition(": ")[2] == call_label]
+        self._visit(execution, sleep_set)
 
-    def _visit(self, execution: executions.Execution, sleep: Sleep) -> None:
+    def _visit(self, execution: executions.Execution, sleep_set: SleepSet) -> None:
         figures = self.figures
         figures.depth = max(figures.depth, len(self._path))
         enabled = [event.key for event in execution.enabled()]
         digest = execution.world.digest()
-        slept = self._seen.get(digest)
-        if slept is None:
+        earlier_sleep_set = self._sleep_sets_by_state.get(digest)
+        if earlier_sleep_set is None:
             figures.states += 1
-            self._seen[digest] = frozenset(sleep)
-            todo = [key for key in enabled if key not in sleep]
+            self._sleep_sets_by_state[digest] = frozenset(sleep_set)
+            untried = [key for key in enabled if key not in sleep_set]
         else:
-            self._seen[digest] = slept & frozenset(sleep)
-            todo = [key for key in enabled if key in slept and key not in sleep]
-        self._path.append(_Node(sleep, todo))
+            self._sleep_sets_by_state[digest] = earlier_sleep_set & frozenset(sleep_set)
+            untried = [key for key in enabled if key in earlier_sleep_set and key not in sleep_set]
+        self._path.append(_Node(sleep_set, untried))
 
     def _backtrack(self) -> bool:
         """Back to the last state with events left; false where there is none."""
-        while self._path and not self._path[-1].todo:
+        while self._path and not self._path[-1].untried:
             self._path.pop()
-            if self._taken:
-                self._taken.pop()
+            if self._path_keys:
+                self._path_keys.pop()
         if not self._path:
             return False
-        self._taken.append(self._path[-1].todo.pop(0))
+        self._path_keys.append(self._path[-1].untried.pop(0))
         return True
--- a/packages/explorer/src/dykeswitch/explorer/hosts.py
+++ b/packages/explorer/src/dykeswitch/explorer/hosts.py
@@ -13,8 +13,8 @@
 class Timer:
     """A callback due at a moment of its host's clock."""
 
-    when: float
-    order: int
+    due_at: float
+    sequence: int
     handle: asyncio.TimerHandle
 
 
@@ -37,7 +37,7 @@
     def earliest_timer(self) -> Timer | None:
         """The timer that is due first, cancelled ones dropped."""
         self.timers = [timer for timer in self.timers if not timer.handle.cancelled()]
-        return min(self.timers, key=lambda timer: (timer.when, timer.order), default=None)
+        return min(self.timers, key=lambda timer: (timer.due_at, timer.sequence), default=None)
 
     def stop(self) -> None:
         """End the process; what it held in memory is gone."""
@@ -48,25 +48,25 @@
 
 
 # The host on whose behalf the running code runs.
-CURRENT: typing.Final[contextvars.ContextVar[Host | None]] = contextvars.ContextVar("host", default=None)
+CURRENT_HOST: typing.Final[contextvars.ContextVar[Host | None]] = contextvars.ContextVar("host", default=None)
 # Which start of that host the running code belongs to.
-LIFE: typing.Final[contextvars.ContextVar[int]] = contextvars.ContextVar("life", default=0)
+CURRENT_START: typing.Final[contextvars.ContextVar[int]] = contextvars.ContextVar("life", default=0)
 
 
 def enter(context: contextvars.Context, host: Host) -> None:
     """Let what runs in a context run on a host, as a part of its process of this moment."""
-    context.run(CURRENT.set, host)
-    context.run(LIFE.set, host.starts)
+    context.run(CURRENT_HOST.set, host)
+    context.run(CURRENT_START.set, host.starts)
 
 
-def runs(context: contextvars.Context) -> bool:
+def is_current_process(context: contextvars.Context) -> bool:
     """Whether the process that a context belongs to is the one that its host runs.
 
     Unwinding the coroutines of a process that ended wakes others of them, for instance by
     releasing a lock. A killed process runs nothing any more, whatever came after it.
     """
-    host = context.get(CURRENT)
-    return host is None or (host.up and host.starts == context.get(LIFE, 0))
+    host = context.get(CURRENT_HOST)
+    return host is None or (host.up and host.starts == context.get(CURRENT_START, 0))
 
 
 class HostClock:
@@ -76,9 +76,9 @@
     retries until a deadline does so, and with it the scope.
     """
 
-    def __init__(self, host: Host, shortest_sleep: float) -> None:
+    def __init__(self, host: Host, min_sleep_s: float) -> None:
         self._host = host
-        self._shortest_sleep = shortest_sleep
+        self._min_sleep_s = min_sleep_s
 
     def now(self) -> float:
         """The host's time, which never jumps."""
@@ -90,7 +90,7 @@
 
     async def sleep(self, duration_s: float) -> None:
         """Sleep for the span or longer."""
-        await asyncio.sleep(max(duration_s, self._shortest_sleep))
+        await asyncio.sleep(max(duration_s, self._min_sleep_s))
 
 
 class NoNetwork:
--- a/packages/explorer/src/dykeswitch/explorer/invariants.py
+++ b/packages/explorer/src/dykeswitch/explorer/invariants.py
@@ -10,66 +10,66 @@
     import dykeswitch.explorer.world as worlds
 
 
-class Floor(typing.NamedTuple):
+class Commitment(typing.NamedTuple):
     """The least that a disk must hold of a key, by what it has answered."""
 
     promised: register.Ballot = register.ZERO_BALLOT
     ballot: register.Ballot = register.ZERO_BALLOT
 
 
-def note_answer(store: "nodes.Store", kind: str, body: frames.Body) -> str:
+def record_commitment(store: "nodes.Store", kind: str, body: frames.Body) -> str:
     """Note what a store has just bound itself to; says what is wrong with it, if anything."""
     if kind not in ("prepare", "accept"):
         return ""
     disk = str(body["disk"])
     key = str(body["key"])
     ballot = register.decode_ballot(body["ballot"])
-    floor = store.answered.get((disk, key), Floor())
+    commitment = store.commitments.get((disk, key), Commitment())
     # I6: a promise keeps lower ballots out.
-    if ballot < floor.promised:
-        return f"I6 {store.host.name} took {kind} {key} {ballot} after promising {floor.promised}"
-    accepted = ballot if kind == "accept" else floor.ballot
-    store.answered[disk, key] = Floor(ballot, accepted)
+    if ballot < commitment.promised:
+        return f"I6 {store.host.name} took {kind} {key} {ballot} after promising {commitment.promised}"
+    accepted = ballot if kind == "accept" else commitment.ballot
+    store.commitments[disk, key] = Commitment(ballot, accepted)
     return ""
 
 
-def broken_by_hosts(world: "worlds.World", touched: typing.Collection[str]) -> str:
+def check_hosts(world: "worlds.World", host_names: typing.Collection[str]) -> str:
     """Which of the invariants that a host keeps by itself is broken, if any."""
-    for name in sorted(touched):
+    for name in sorted(host_names):
         if name in world.stores:
-            found = _store(world.stores[name])
+            violation = _check_store(world.stores[name])
         else:
-            found = _registry(world.registries[name])
-        if found:
-            return found
+            violation = _check_registry(world.registries[name])
+        if violation:
+            return violation
     return ""
 
 
-def broken_together(world: "worlds.World") -> str:
+def check_all_hosts(world: "worlds.World") -> str:
     """Which of the invariants that all hosts keep together is broken, if any."""
-    return _durable(world) or _one_set_an_epoch(world) or _one_effect(world)
+    return _check_durability(world) or _check_unique_member_sets(world) or _check_order_effects(world)
 
 
-def _store(store: "nodes.Store") -> str:
-    held = store.view.keys
+def _check_store(store: "nodes.Store") -> str:
+    records = store.view.keys
     disk = store.view.disk
     # I7: what a store answered for is on its disk.
-    for (answered_disk, key), floor in store.answered.items():
-        record = held.get(key)
-        if answered_disk != disk:
+    for (committed_disk, key), commitment in store.commitments.items():
+        record = records.get(key)
+        if committed_disk != disk:
             continue
-        if record is None or record.promised < floor.promised or record.ballot < floor.ballot:
-            return f"I7 {store.host.name} answered for {key} at {floor} and holds {record}"
+        if record is None or record.promised < commitment.promised or record.ballot < commitment.ballot:
+            return f"I7 {store.host.name} answered for {key} at {commitment} and holds {record}"
     # I3: epochs rise.
     epoch = store.view.members.epoch
-    before = store.highest_epochs.get(disk, 0)
-    if epoch < before:
-        return f"I3 {store.host.name} went from epoch {before} back to {epoch}"
+    previous_epoch = store.highest_epochs.get(disk, 0)
+    if epoch < previous_epoch:
+        return f"I3 {store.host.name} went from epoch {previous_epoch} back to {epoch}"
     store.highest_epochs[disk] = epoch
     return ""
 
 
-def _registry(registry: "nodes.Registry") -> str:
+def _check_registry(registry: "nodes.Registry") -> str:
     if registry.proposer is not None:
         epoch = registry.proposer.members.epoch
         # I3: epochs rise.
@@ -77,50 +77,50 @@
             return f"I3 {registry.host.name} went from epoch {registry.highest_epoch} back to {epoch}"
         registry.highest_epoch = epoch
     # I4: a reader never goes back.
-    for name, version in registry.versions().items():
+    for name, version in registry.document_versions().items():
         if version < registry.highest_versions.get(name, 0):
             return f"I4 {registry.host.name} went back to version {version} of {name}"
         registry.highest_versions[name] = version
     return ""
 
 
-def _sets(world: "worlds.World") -> set[register.MemberSet]:
+def _member_sets_in_use(world: "worlds.World") -> set[register.MemberSet]:
     """Every member set that somebody goes by."""
-    found = {store.view.members for store in world.stores.values()}
+    violation = {store.view.members for store in world.stores.values()}
     for registry in world.registries.values():
         if registry.proposer is not None and registry.host.up:
-            found.add(registry.proposer.members)
-    return {members for members in found if members.groups}
+            violation.add(registry.proposer.members)
+    return {members for members in violation if members.groups}
 
 
-def _one_set_an_epoch(world: "worlds.World") -> str:
+def _check_unique_member_sets(world: "worlds.World") -> str:
     """I3: one member set an epoch."""
     by_epoch: dict[int, register.MemberSet] = {}
-    for members in sorted(_sets(world), key=repr):
+    for members in sorted(_member_sets_in_use(world), key=repr):
         if by_epoch.setdefault(members.epoch, members) != members:
             return f"I3 two member sets of epoch {members.epoch}"
     return ""
 
 
-def _durable(world: "worlds.World") -> str:
+def _check_durability(world: "worlds.World") -> str:
     """I2: no majority of a member set in force lacks an acknowledged change."""
     acknowledged = world.history.acknowledged()
     if not acknowledged:
         return ""
-    for members in sorted(_sets(world), key=repr):
+    for members in sorted(_member_sets_in_use(world), key=repr):
         serving = [store for store in world.stores.values() if _serves(store, members)]
         for operation in acknowledged:
             lacking = {
                 store.view.disk
                 for store in serving
-                if not _holds(store, operation.key, operation.order, operation.version)
+                if not _has_change(store, operation.key, operation.order, operation.version)
             }
-            if _could_decide(members, lacking):
+            if _is_majority(members, lacking):
                 return f"I2 a majority of epoch {members.epoch} lacks {operation.order}, acknowledged"
     return ""
 
 
-def _could_decide(members: register.MemberSet, disks: set[str]) -> bool:
+def _is_majority(members: register.MemberSet, disks: set[str]) -> bool:
     """Whether some disks are a majority of each group; on purpose not the register's own word."""
     return all(2 * sum(disk in disks for disk, _ in group) > len(group) for group in members.groups)
 
@@ -131,15 +131,15 @@
     return installed.epoch <= members.epoch and store.view.disk in installed.disks()
 
 
-def _holds(store: "nodes.Store", key: str, order: str, version: int) -> bool:
+def _has_change(store: "nodes.Store", key: str, order: str, version: int) -> bool:
     record = store.view.keys.get(key)
     if record is None or record.value.version < version:
         return False
-    forgotten = len(record.value.ops) >= register.MAX_OPS
-    return forgotten or record.value.version_of(order) == version
+    may_be_pruned = len(record.value.ops) >= register.MAX_OPS
+    return may_be_pruned or record.value.version_of(order) == version
 
 
-def _one_effect(world: "worlds.World") -> str:
+def _check_order_effects(world: "worlds.World") -> str:
     """I5: an order has one answer and at most one effect."""
     for store in world.stores.values():
         for key, record in store.view.keys.items():
--- a/packages/explorer/src/dykeswitch/explorer/loop.py
+++ b/packages/explorer/src/dykeswitch/explorer/loop.py
@@ -16,7 +16,7 @@
 
     def __init__(self) -> None:
         self._ready: collections.deque[asyncio.Handle] = collections.deque()
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._closed = False
         # Exceptions that no task handled; the driver reports them as violations.
         self.failures: list[str] = []
@@ -35,7 +35,7 @@
 
     def time(self) -> float:
         """The time of the host whose code runs."""
-        host = hosts.CURRENT.get()
+        host = hosts.CURRENT_HOST.get()
         return host.now if host is not None else 0.0
 
     def call_soon(  # type: ignore[override]
@@ -71,9 +71,9 @@
         """Set a timer of the running host."""
         context = contextvars.copy_context() if context is None else context
         handle = asyncio.TimerHandle(when, callback, args, self, context)
-        host = context.get(hosts.CURRENT)
-        if host is not None and hosts.runs(context) and not self._closed:
-            host.timers.append(hosts.Timer(when, next(self._order), handle))
+        host = context.get(hosts.CURRENT_HOST)
+        if host is not None and hosts.is_current_process(context) and not self._closed:
+            host.timers.append(hosts.Timer(when, next(self._sequence), handle))
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
@@ -95,7 +95,7 @@
         task: asyncio.Task[typing.Any] = asyncio.Task(coro, loop=self, name=name, context=context)
         # A crash leaves tasks pending on purpose.
         task._log_destroy_pending = False  # type: ignore[attr-defined]
-        host = hosts.CURRENT.get() if context is None else context.get(hosts.CURRENT)
+        host = hosts.CURRENT_HOST.get() if context is None else context.get(hosts.CURRENT_HOST)
         if host is not None:
             host.tasks[task] = None
             task.add_done_callback(lambda done: host.tasks.pop(done, None))
@@ -105,8 +105,8 @@
         """Note an exception that nobody handled."""
         if self._closed:
             return
-        flaw = context.get("exception")
-        self.failures.append(f"{context.get('message')}: {type(flaw).__name__}: {flaw}")
+        error = context.get("exception")
+        self.failures.append(f"{context.get('message')}: {type(error).__name__}: {error}")
 
     def fire(self, timer: hosts.Timer) -> None:
         """Make a timer's callback ready."""
@@ -118,7 +118,7 @@
         try:
             while self._ready:
                 handle = self._ready.popleft()
-                if not handle.cancelled() and hosts.runs(handle._context):  # type: ignore[attr-defined]
+                if not handle.cancelled() and hosts.is_current_process(handle._context):  # type: ignore[attr-defined]
                     handle._run()
         finally:
             asyncio._set_running_loop(None)
--- a/packages/explorer/src/dykeswitch/explorer/nodes.py
+++ b/packages/explorer/src/dykeswitch/explorer/nodes.py
@@ -20,7 +20,7 @@
 if typing.TYPE_CHECKING:
     import dykeswitch.explorer.world as worlds
 
-CALL_WAIT: typing.Final = 1.0
+CALL_TIMEOUT_S: typing.Final = 1.0
 
 Start = typing.Callable[["Registry"], typing.Coroutine[typing.Any, typing.Any, None]]
 
@@ -31,13 +31,13 @@
 
     budget: events.Budget
     # How long each sleep lasts at least, by the calls' timeout: bounds the tries of a change.
-    shortest_sleep: float = 4 * CALL_WAIT
+    min_sleep_s: float = 4 * CALL_TIMEOUT_S
     # How much of its host's time passes with each answer: bounds them further.
-    answer_time: float = 0.0
+    time_per_reply_s: float = 0.0
     # Whether each reply reaches its caller at once. Requests still come late and in any order.
-    prompt_replies: bool = False
+    immediate_replies: bool = False
     # Stores that the scope treats alike: of those that nothing happened to, the first comes first.
-    alike: tuple[str, ...] = ()
+    interchangeable: tuple[str, ...] = ()
     # Whether a store's disk work is an event of its own, and whether its files are real.
     stepwise_disks: bool = False
     real_files: bool = False
@@ -48,7 +48,7 @@
     may_cut: frozenset[tuple[str, str]] = frozenset()
 
 
-@fingerprint.leave_out
+@fingerprint.exclude_from_fingerprint
 class Store:
     """A host with a disk that votes."""
 
@@ -57,14 +57,14 @@
         self.disk = disk
         self.voter: voters.Voter | None = None
         # What the voter has answered for, by disk and key: it may never hold less.
-        self.answered: dict[tuple[str, str], invariants.Floor] = {}
+        self.commitments: dict[tuple[str, str], invariants.Commitment] = {}
         # The highest epoch held under each disk id: who is emptied draws another.
         self.highest_epochs: dict[str, int] = {}
         # What the disk holds, read anew after each event of this host.
         self.view = records.view(disk.records)
 
 
-@fingerprint.leave_out
+@fingerprint.exclude_from_fingerprint
 class Registry:
     """A host with a proposer, and whatever its scope runs on it."""
 
@@ -75,7 +75,7 @@
         self.proposer: proposers.Proposer | None = None
         self.highest_epoch = 0
         # Documents held, by name, where the host holds any; and the highest versions seen.
-        self.versions: typing.Callable[[], dict[str, int]] = dict
+        self.document_versions: typing.Callable[[], dict[str, int]] = dict
         self.highest_versions: dict[str, int] = {}
 
     def call_client(self) -> calls.ModelCallClient:
@@ -84,7 +84,7 @@
 
     def clock(self) -> hosts.HostClock:
         """This host's clock."""
-        return hosts.HostClock(self.host, self.world.settings.shortest_sleep)
+        return hosts.HostClock(self.host, self.world.settings.min_sleep_s)
 
     def machine(self) -> ports.Machine:
         """This host's ports."""
@@ -101,7 +101,7 @@
             self.call_client(),
             self.clock(),
             ports.NoFaultPoints(),
-            CALL_WAIT,
+            CALL_TIMEOUT_S,
             random.Random(0),
         )
         self.proposer.quorum.adopt(members)
@@ -114,5 +114,5 @@
     """A store whose power went, the changes yet to be decided on, and those that are kept."""
 
     store: Store
-    loose: list[disks.Loose]
-    kept: list[disks.Loose]
+    undecided: list[disks.UnsyncedChange]
+    kept: list[disks.UnsyncedChange]
--- a/packages/explorer/src/dykeswitch/explorer/randomised.py
+++ b/packages/explorer/src/dykeswitch/explorer/randomised.py
@@ -23,16 +23,16 @@
         self._seed = seed
         self._progress = progress
         # How long executions are, as measured: random steps are drawn from it.
-        self._length = 40
+        self._max_length = 40
         self.figures = executions.Figures()
 
     def run(self, schedules: int, seconds: float) -> executions.Figures:
         """Execute so many schedules, or until something breaks or time is up."""
-        begin, spent = time.monotonic(), time.process_time()
+        started_at, cpu_started_at = time.monotonic(), time.process_time()
         for number in range(schedules):
             self._execute(random.Random(f"{self._seed}/{number}"))
-            self.figures.seconds = time.monotonic() - begin
-            self.figures.processor_seconds = time.process_time() - spent
+            self.figures.seconds = time.monotonic() - started_at
+            self.figures.processor_seconds = time.process_time() - cpu_started_at
             if self.figures.violation is not None or self.figures.seconds > seconds:
                 break
             if self._progress is not None and number % 50 == 0:
@@ -41,26 +41,26 @@
 
     def _execute(self, rng: random.Random) -> None:
         faults = sum(self._plan.settings.budget.values())
-        fault_steps = {rng.randrange(self._length) for _ in range(faults)}
-        falls = {rng.randrange(self._length) for _ in range(self.PRIORITY_CHANGES)}
+        fault_steps = {rng.randrange(self._max_length) for _ in range(faults)}
+        change_steps = {rng.randrange(self._max_length) for _ in range(self.PRIORITY_CHANGES)}
         priorities: dict[str, float] = {}
         execution = executions.Execution(self._plan)
         figures = self.figures
         figures.executions += 1
         try:
-            while (enabled := execution.enabled()) and len(execution.trace) < self._plan.most_events:
+            while (enabled := execution.enabled()) and len(execution.trace) < self._plan.max_events:
                 step = len(execution.trace)
-                event = _drawn(enabled, rng, priorities, step in fault_steps)
+                event = _choose_event(enabled, rng, priorities, step in fault_steps)
                 if event is None:
                     break
-                if step in falls:
+                if step in change_steps:
                     priorities[_channel(event)] = min(priorities.values(), default=0.0) - 1.0
                 execution.perform(event)
                 figures.events += 1
             figures.depth = max(figures.depth, len(execution.trace))
-            figures.cut_short += len(execution.trace) >= self._plan.most_events
+            figures.cut_short += len(execution.trace) >= self._plan.max_events
             figures.violation = execution.violation()
-            self._length = max(self._length, len(execution.trace))
+            self._max_length = max(self._max_length, len(execution.trace))
         finally:
             execution.close()
 
@@ -73,17 +73,17 @@
     return event.key
 
 
-def _drawn(
+def _choose_event(
     enabled: list[events.Event], rng: random.Random, priorities: dict[str, float], fault: bool
 ) -> events.Event | None:
     """A random fault where one is due, else the event of the highest priority."""
-    faults = [event for event in enabled if event.costs]
+    faults = [event for event in enabled if event.uses_budget]
     if fault and faults:
         kind = rng.choice(sorted({event.kind.value for event in faults}))
         return rng.choice([event for event in faults if event.kind.value == kind])
-    usual = [event for event in enabled if not event.costs]
-    if usual and usual[0].kind in (events.Kind.KEEP, events.Kind.DROP):
-        return rng.choice(usual)
-    for event in usual:
+    fault_free = [event for event in enabled if not event.uses_budget]
+    if fault_free and fault_free[0].kind in (events.Kind.KEEP, events.Kind.DROP):
+        return rng.choice(fault_free)
+    for event in fault_free:
         priorities.setdefault(_channel(event), rng.random())
-    return max(usual, key=lambda event: priorities[_channel(event)], default=None)
+    return max(fault_free, key=lambda event: priorities[_channel(event)], default=None)
--- a/packages/explorer/src/dykeswitch/explorer/records.py
+++ b/packages/explorer/src/dykeswitch/explorer/records.py
@@ -53,7 +53,7 @@
         self._observed.records.clear()
 
 
-@fingerprint.leave_out
+@fingerprint.exclude_from_fingerprint
 class AtomicStorage:
     """Records in memory, each put whole."""
 
@@ -80,14 +80,14 @@
 
 
 @contextlib.contextmanager
-def storage_class(kind: type) -> typing.Iterator[None]:
+def use_storage_class(storage_type: type) -> typing.Iterator[None]:
     """Let voters made meanwhile keep their records by the given class."""
-    real = storage.Storage
-    storage.Storage = kind  # type: ignore[misc, assignment]
+    original = storage.Storage
+    storage.Storage = storage_type  # type: ignore[misc, assignment]
     try:
         yield
     finally:
-        storage.Storage = real  # type: ignore[misc]
+        storage.Storage = original  # type: ignore[misc]
 
 
 class View(typing.NamedTuple):
--- a/packages/explorer/src/dykeswitch/explorer/replay.py
+++ b/packages/explorer/src/dykeswitch/explorer/replay.py
@@ -6,7 +6,7 @@
 
 
 def replay(
-    plan: executions.Plan, trace: typing.Sequence[str], to_the_end: bool = True
+    plan: executions.Plan, trace: typing.Sequence[str], run_to_completion: bool = True
 ) -> executions.Violation | None:
     """Execute a trace; what can't happen is passed over, and the usual follows to the end."""
     execution = executions.Execution(plan)
@@ -15,11 +15,11 @@
             event = next((event for event in execution.enabled() if event.key == key), None)
             if event is not None:
                 execution.perform(event)
-        while to_the_end and len(execution.trace) < plan.most_events:
-            usual = next((event for event in execution.enabled() if not event.costs), None)
-            if usual is None:
+        while run_to_completion and len(execution.trace) < plan.max_events:
+            event = next((event for event in execution.enabled() if not event.uses_budget), None)
+            if event is None:
                 break
-            execution.perform(usual)
+            execution.perform(event)
         return execution.violation()
     finally:
         execution.close()
@@ -27,19 +27,23 @@
 
 def shrink(plan: executions.Plan, violation: executions.Violation) -> executions.Violation:
     """The shortest trace found, by leaving out ever smaller parts, that breaks the same invariant."""
-    best = violation
-    name = violation.what.split()[0]
-    size = max(1, len(best.trace) // 2)
+    shortest = violation
+    invariant = violation.message.split()[0]
+    part_size = max(1, len(shortest.trace) // 2)
     while True:
-        start = 0
-        shorter = False
-        while start < len(best.trace):
-            tried = best.trace[:start] + best.trace[start + size :]
-            found = replay(plan, tried)
-            if found is not None and found.what.split()[0] == name and len(found.trace) < len(best.trace):
-                best, shorter = found, True
+        offset = 0
+        has_shrunk = False
+        while offset < len(shortest.trace):
+            candidate = shortest.trace[:offset] + shortest.trace[offset + part_size :]
+            result = replay(plan, candidate)
+            if (
+                result is not None
+                and result.message.split()[0] == invariant
+                and len(result.trace) < len(shortest.trace)
+            ):
+                shortest, has_shrunk = result, True
             else:
-                start += size
-        if size == 1 and not shorter:
-            return best
-        size = max(1, size // 2)
+                offset += part_size
+        if part_size == 1 and not has_shrunk:
+            return shortest
+        part_size = max(1, part_size // 2)
--- a/packages/explorer/src/dykeswitch/explorer/trace.py
+++ b/packages/explorer/src/dykeswitch/explorer/trace.py
@@ -6,12 +6,12 @@
 import dykeswitch.explorer.scopes as scopes
 
 COMMENT: typing.Final = "#"
-HEAD: typing.Final = "# scope"
+SCOPE_PREFIX: typing.Final = "# scope"
 SMALL: typing.Final = "small"
 WIDE: typing.Final = "wide"
 
 
-class Recorded(typing.NamedTuple):
+class RecordedTrace(typing.NamedTuple):
     """A trace and where it was found."""
 
     scope: scopes.Scope
@@ -31,17 +31,17 @@
 
 def write(scope: scopes.Scope, form: str, violation: executions.Violation) -> str:
     """A violation for a person to read and for `read` to take up."""
-    lines = [f"{HEAD} {scope.name} {form}", f"{COMMENT} {violation.what}", *violation.trace]
+    lines = [f"{SCOPE_PREFIX} {scope.name} {form}", f"{COMMENT} {violation.message}", *violation.trace]
     lines += [f"{COMMENT} {operation}" for operation in violation.history]
     return "\n".join(lines) + "\n"
 
 
-def read(text: str) -> Recorded:
+def read(text: str) -> RecordedTrace:
     """A trace out of its text; raises `ValueError` where it is none."""
     lines = [line.strip() for line in text.splitlines() if line.strip()]
-    head = next((line for line in lines if line.startswith(HEAD)), "")
-    words = head.removeprefix(HEAD).split()
+    scope_line = next((line for line in lines if line.startswith(SCOPE_PREFIX)), "")
+    words = scope_line.removeprefix(SCOPE_PREFIX).split()
     if len(words) != 2 or words[0] not in scopes.SCOPES or words[1] not in (SMALL, WIDE):
-        raise ValueError(f"no line '{HEAD} NAME {SMALL}|{WIDE}'")
+        raise ValueError(f"no line '{SCOPE_PREFIX} NAME {SMALL}|{WIDE}'")
     events = tuple(line for line in lines if not line.startswith(COMMENT))
-    return Recorded(scopes.SCOPES[words[0]], words[1], events)
+    return RecordedTrace(scopes.SCOPES[words[0]], words[1], events)
--- a/packages/explorer/src/dykeswitch/explorer/world.py
+++ b/packages/explorer/src/dykeswitch/explorer/world.py
@@ -35,14 +35,14 @@
     def __init__(
         self,
         settings: nodes.Settings,
-        scratch: pathlib.Path,
-        known: dict[bytes, fingerprint.HostState] | None = None,
+        scratch_folder: pathlib.Path,
+        host_states: dict[bytes, fingerprint.HostState] | None = None,
     ) -> None:
         self.settings = settings
         # States of hosts by what happened at them: a host's own events decide its state, so
         # executions of one scope share them.
-        self._known = {} if known is None else known
-        self._pasts: dict[str, bytes] = {}
+        self._host_states = {} if host_states is None else host_states
+        self._event_digests: dict[str, bytes] = {}
         # Hosts that something happened to since the scope was set up.
         self.touched: set[str] = set()
         # At run time the base class is no abstract one.
@@ -53,16 +53,16 @@
         self.handlers: dict[str, typing.Mapping[str, frames.Handler]] = {}
         self.calls: list[calls.Call] = []
         self.history = histories.History()
-        self.told: dict[tuple[str, int], bytes] = {}
+        self.reported_values: dict[tuple[str, int], bytes] = {}
         self.violation = ""
-        self.spent: dict[events.Kind, int] = {}
+        self.used_budget: dict[events.Kind, int] = {}
         self.cuts: set[tuple[str, str]] = set()
         # Cuts that are part of the scope and never heal.
-        self.lasting_cuts: set[tuple[str, str]] = set()
+        self.permanent_cuts: set[tuple[str, str]] = set()
         # A machine that lost power, while it is not settled what its disk keeps.
-        self.unsettled: nodes.PowerLoss | None = None
-        self._scratch = scratch
-        self._folders = itertools.count(1)
+        self.pending_power_loss: nodes.PowerLoss | None = None
+        self._scratch_folder = scratch_folder
+        self._folder_numbers = itertools.count(1)
 
     # Building.
 
@@ -83,7 +83,9 @@
     def _blank_disk(self) -> disks.MemoryDisk:
         if not self.settings.real_files:
             return disks.MemoryDisk(self.settings.stepwise_disks)
-        return disks.FileDisk(self._scratch / f"disk{next(self._folders)}", self.settings.stepwise_disks)
+        return disks.FileDisk(
+            self._scratch_folder / f"disk{next(self._folder_numbers)}", self.settings.stepwise_disks
+        )
 
     def spawn(self, host: hosts.Host, work: typing.Coroutine[typing.Any, typing.Any, object]) -> None:
         """Run a coroutine on a host."""
@@ -102,8 +104,8 @@
         async def open_and_serve() -> None:
             try:
                 await voter.open()
-            except storage.StorageDamageError as flaw:
-                self.violate(f"I8 {host.name} can't read its disk: {flaw}")
+            except storage.StorageDamageError as error:
+                self.record_violation(f"I8 {host.name} can't read its disk: {error}")
                 return
             self.handlers[host.name] = voter.kinds()
 
@@ -120,11 +122,11 @@
         """The address that a host's calls are sent to."""
         return ports.address_of(f"10.0.0.{list(self.hosts).index(name) + 1}:7000")
 
-    def settle(self) -> None:
+    def run_until_quiescent(self) -> None:
         """Let all that needs no choice happen, as while a scope is set up."""
         self.loop.run_until_idle()
-        while chosen := next((e for e in choices.enabled(self) if not e.costs), None):
-            self.perform(chosen)
+        while event := next((e for e in choices.enabled(self) if not e.uses_budget), None):
+            self.perform(event)
         self.touched.clear()
 
     # Calls.
@@ -139,7 +141,7 @@
         self.calls.append(calls.Call(source, target, kind, cbor2.dumps(body), label, future))
         return future
 
-    def deliver(self, call: calls.Call) -> None:
+    def deliver_request(self, call: calls.Call) -> None:
         """Run a request at its target."""
         call.phase = calls.Phase.RUNNING
         self.spawn(call.target, self._run(call))
@@ -148,25 +150,25 @@
         await calls.serve(self.handlers.get(call.target.name, {}), call)
         store = self.stores.get(call.target.name)
         if store is not None and isinstance(call.reply, outcome.Success):
-            self.violate(invariants.note_answer(store, call.kind, cbor2.loads(call.body)))
+            self.record_violation(invariants.record_commitment(store, call.kind, cbor2.loads(call.body)))
 
-    def answer(self, call: calls.Call) -> None:
+    def deliver_reply(self, call: calls.Call) -> None:
         """Hand a reply to its caller."""
         self.calls.remove(call)
         assert call.reply is not None
-        call.source.now += self.settings.answer_time
-        call.settle(call.reply)
+        call.source.now += self.settings.time_per_reply_s
+        call.resolve(call.reply)
 
     def lose(self, call: calls.Call) -> None:
         """Let a request or reply come to nothing; its caller learns it."""
         self.calls.remove(call)
-        call.source.now += self.settings.answer_time
-        call.settle(outcome.failure("no_reply", "lost"))
+        call.source.now += self.settings.time_per_reply_s
+        call.resolve(outcome.failure("no_reply", "lost"))
 
     def give_up(self, call: calls.Call) -> None:
         """Let a caller wait no longer; the request may yet come."""
-        call.source.now += self.settings.answer_time
-        call.settle(outcome.failure("no_reply", "late"))
+        call.source.now += self.settings.time_per_reply_s
+        call.resolve(outcome.failure("no_reply", "late"))
 
     def duplicate(self, call: calls.Call) -> None:
         """Deliver a request once more beside the first."""
@@ -188,34 +190,36 @@
         for operation in self.history.operations.values():
             # Whoever asked a host that ended is told nothing more.
             if operation.client == host.name and operation.answer is histories.Answer.NONE:
-                self.history.tell(operation, histories.Answer.UNKNOWN)
+                self.history.record_answer(operation, histories.Answer.UNKNOWN)
 
     def lose_power(self, store: nodes.Store, step: int) -> None:
         """Cut the power of a store within its disk's next piece of work."""
         assert isinstance(store.disk, disks.FileDisk)
-        loose = store.disk.cut_power(step)
+        undecided = store.disk.cut_power(step)
         self.stop_host(store.host)
-        self.unsettled = nodes.PowerLoss(store, loose, [])
-        self._settle_power_loss()
+        self.pending_power_loss = nodes.PowerLoss(store, undecided, [])
+        self._advance_power_loss()
 
-    def decide(self, keep: bool) -> None:
+    def decide_change(self, keep: bool) -> None:
         """Keep or lose the next of the unsynced changes."""
-        assert self.unsettled is not None
-        change = self.unsettled.loose.pop(0)
+        assert self.pending_power_loss is not None
+        change = self.pending_power_loss.undecided.pop(0)
         if keep:
-            self.unsettled.kept.append(change)
-        self._settle_power_loss()
+            self.pending_power_loss.kept.append(change)
+        self._advance_power_loss()
 
-    def _settle_power_loss(self) -> None:
+    def _advance_power_loss(self) -> None:
         """Leave out what no longer matters; lose the power once nothing is left to decide."""
-        assert self.unsettled is not None
-        disk = self.unsettled.store.disk
+        assert self.pending_power_loss is not None
+        disk = self.pending_power_loss.store.disk
         assert isinstance(disk, disks.FileDisk)
-        reached = disk.reached(self.unsettled.kept, self.unsettled.loose)
-        self.unsettled.loose = [c for c in self.unsettled.loose if c.holder in reached]
-        if not self.unsettled.loose:
-            disk.lose_power(self.unsettled.kept)
-            self.unsettled = None
+        reachable = disk.reachable(self.pending_power_loss.kept, self.pending_power_loss.undecided)
+        self.pending_power_loss.undecided = [
+            c for c in self.pending_power_loss.undecided if c.inode in reachable
+        ]
+        if not self.pending_power_loss.undecided:
+            disk.lose_power(self.pending_power_loss.kept)
+            self.pending_power_loss = None
 
     def restart(self, name: str) -> None:
         """Start a host's process anew."""
@@ -224,7 +228,7 @@
             return
         store = self.stores[name]
         if isinstance(store.disk, disks.FileDisk):
-            store.disk = store.disk.woken()
+            store.disk = store.disk.after_restart()
         self._start_store(store)
 
     def wipe(self, name: str) -> None:
@@ -242,94 +246,100 @@
         timer = host.earliest_timer()
         assert timer is not None
         host.timers.remove(timer)
-        host.now = max(host.now, timer.when)
+        host.now = max(host.now, timer.due_at)
         self.loop.fire(timer)
 
-    def cut(self, way: tuple[str, str]) -> None:
+    def cut(self, link: tuple[str, str]) -> None:
         """Let nothing through from one host to another."""
-        self.cuts.add(way)
+        self.cuts.add(link)
 
-    def cut_for_good(self, one: str, other: str) -> None:
+    def cut_permanently(self, first: str, second: str) -> None:
         """Cut two hosts apart, both ways, for the whole execution."""
-        self.lasting_cuts |= {(one, other), (other, one)}
-        self.cuts |= self.lasting_cuts
+        self.permanent_cuts |= {(first, second), (second, first)}
+        self.cuts |= self.permanent_cuts
 
-    def heal(self, way: tuple[str, str]) -> None:
+    def heal(self, link: tuple[str, str]) -> None:
         """Let everything through again."""
-        self.cuts.discard(way)
+        self.cuts.discard(link)
 
     # Steps.
 
-    def perform(self, event: events.Event, judge: bool = True) -> None:
+    def perform(self, event: events.Event, check_invariants: bool = True) -> None:
         """Let an event happen, and all that follows without another choice."""
-        if event.costs:
-            self.spent[event.kind] = self.spent.get(event.kind, 0) + 1
+        if event.uses_budget:
+            self.used_budget[event.kind] = self.used_budget.get(event.kind, 0) + 1
         self.touched |= event.hosts
         for name in event.hosts:
-            self._add_to_past(name, f"{event.key} {event.detail()}")
+            self._extend_event_digest(name, f"{event.key} {event.detail()}")
         event.perform()
         self.loop.run_until_idle()
-        if self.settings.prompt_replies:
-            self._answer_all()
+        if self.settings.immediate_replies:
+            self._deliver_ready_replies()
         for failure in self.loop.failures:
-            self.violate(f"I10 unhandled: {failure}")
-        self.calls = [call for call in self.calls if self._still_matters(call)]
+            self.record_violation(f"I10 unhandled: {failure}")
+        self.calls = [call for call in self.calls if self._is_relevant(call)]
         for name in event.hosts & self.stores.keys():
             self.stores[name].view = records.view(self.stores[name].disk.records)
-        self.violate(invariants.broken_by_hosts(self, event.hosts))
+        self.record_violation(invariants.check_hosts(self, event.hosts))
         # On the way to a state that was judged before only the hosts' own floors are kept up.
-        if judge:
-            self.violate(invariants.broken_together(self))
+        if check_invariants:
+            self.record_violation(invariants.check_all_hosts(self))
 
-    def _add_to_past(self, name: str, what: str) -> None:
-        past = self._pasts.get(name, b"")
-        self._pasts[name] = fingerprint.digest(f"{past!r} {what}")
+    def _extend_event_digest(self, name: str, detail: str) -> None:
+        event_digest = self._event_digests.get(name, b"")
+        self._event_digests[name] = fingerprint.digest(f"{event_digest!r} {detail}")
 
-    def _answer_all(self) -> None:
+    def _deliver_ready_replies(self) -> None:
         """Hand over every reply that nothing holds back."""
-        while ready := next((call for call in self.calls if self._may_be_answered(call)), None):
-            self._add_to_past(ready.source.name, ready.state())
-            self.answer(ready)
+        while ready_call := next((call for call in self.calls if self._can_deliver_reply(call)), None):
+            self._extend_event_digest(ready_call.source.name, ready_call.state())
+            self.deliver_reply(ready_call)
             self.loop.run_until_idle()
 
-    def _may_be_answered(self, call: calls.Call) -> bool:
-        back = (call.target.name, call.source.name)
-        return call.phase is calls.Phase.REPLY and back not in self.cuts
+    def _can_deliver_reply(self, call: calls.Call) -> bool:
+        reply_link = (call.target.name, call.source.name)
+        return call.phase is calls.Phase.REPLY and reply_link not in self.cuts
 
-    def _still_matters(self, call: calls.Call) -> bool:
+    def _is_relevant(self, call: calls.Call) -> bool:
         # Nobody waits for it, and it has run or never will.
-        gone = call.future is None and call.phase in (calls.Phase.REPLY, calls.Phase.BROKEN)
-        refused = call.future is None and call.phase is calls.Phase.REQUEST and not call.target.up
-        return not gone and not refused
+        finished = call.future is None and call.phase in (calls.Phase.REPLY, calls.Phase.BROKEN)
+        undeliverable = call.future is None and call.phase is calls.Phase.REQUEST and not call.target.up
+        return not finished and not undeliverable
 
-    def violate(self, what: str) -> None:
+    def record_violation(self, message: str) -> None:
         """Note the first violation."""
-        if what and not self.violation:
-            self.violation = what
+        if message and not self.violation:
+            self.violation = message
 
-    def note_told(self, key: str, value: register.Value) -> None:
+    def record_reported(self, key: str, value: register.Value) -> None:
         """Note a value that somebody was told."""
-        held = self.told.setdefault((key, value.version), value.body)
-        if held != value.body:
-            self.violate(f"I1 {key} version {value.version} was told as {held!r} and as {value.body!r}")
+        reported = self.reported_values.setdefault((key, value.version), value.body)
+        if reported != value.body:
+            self.record_violation(
+                f"I1 {key} version {value.version} was reported as {reported!r} and as {value.body!r}"
+            )
 
     def digest(self) -> bytes:
         """The digest of the whole state."""
-        way = sorted(call.state() for call in self.calls)
-        spent = sorted((kind.value, count) for kind, count in self.spent.items())
-        lost = self.unsettled
-        loose = None if lost is None else (lost.store.host.name, lost.loose, lost.kept)
-        faults = f"{sorted(self.touched)} {spent} {sorted(self.cuts)} {loose}"
-        rest = f"{way} {faults} {self.history.text()} {sorted(self.told.items())}"
+        call_states = sorted(call.state() for call in self.calls)
+        used_budget = sorted((kind.value, count) for kind, count in self.used_budget.items())
+        power_loss = self.pending_power_loss
+        undecided = (
+            None
+            if power_loss is None
+            else (power_loss.store.host.name, power_loss.undecided, power_loss.kept)
+        )
+        faults = f"{sorted(self.touched)} {used_budget} {sorted(self.cuts)} {undecided}"
+        rest = f"{call_states} {faults} {self.history.text()} {sorted(self.reported_values.items())}"
         states = [self.host_state(name) for name in self.hosts]
         return fingerprint.digest(f"{states} {rest}")
 
     def host_state(self, name: str) -> fingerprint.HostState:
         """The digests of a host's parts."""
-        past = name.encode() + self._pasts.get(name, b"")
-        if past not in self._known:
-            self._known[past] = self._new_host_state(self.hosts[name])
-        return self._known[past]
+        event_digest = name.encode() + self._event_digests.get(name, b"")
+        if event_digest not in self._host_states:
+            self._host_states[event_digest] = self._new_host_state(self.hosts[name])
+        return self._host_states[event_digest]
 
     def _new_host_state(self, host: hosts.Host) -> fingerprint.HostState:
         found = fingerprint.of_host(host)
@@ -337,9 +347,11 @@
         if store is None:
             return found
         # The work that waits holds the records that it will write.
-        waiting = fingerprint.of_objects([piece.run for piece in store.disk.waiting])
-        floors = sorted(store.answered.items())
-        disk = f"{store.disk.content()} {waiting!r} {floors} {sorted(store.highest_epochs.items())}"
+        pending_digest = fingerprint.of_objects([piece.run for piece in store.disk.pending])
+        commitments = sorted(store.commitments.items())
+        disk = (
+            f"{store.disk.content()} {pending_digest!r} {commitments} {sorted(store.highest_epochs.items())}"
+        )
         return found._replace(core=fingerprint.digest(f"{found.core!r} {disk}"))
 
     def close(self) -> None:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -137,7 +137,7 @@
     case.removal(monkeypatch)
     figures = _random(case.scope, SCHEDULES)
     assert figures.violation is not None, figures
-    assert figures.violation.what.split()[0] in case.invariants, figures.violation
+    assert figures.violation.message.split()[0] in case.invariants, figures.violation
 
 
 @pytest.mark.parametrize("case", CASES[:2], ids=_name)
@@ -147,7 +147,7 @@
     case.removal(monkeypatch)
     figures = exhaustive.Exhaustive(scopes.SCOPES[case.scope].small, SECONDS).run(SEARCHED)
     assert figures.violation is not None, figures
-    assert figures.violation.what.split()[0] in case.invariants, figures.violation
+    assert figures.violation.message.split()[0] in case.invariants, figures.violation
 
 
 @pytest.mark.parametrize("scope", list(scopes.SCOPES))
@@ -201,8 +201,8 @@
     for operation in operations:
         answer, version, body = operation.answer, operation.version, operation.read_body
         operation.answer = histories.Answer.NONE
-        history.ask(operation)
-        history.tell(operation, answer, version, body)
+        history.record_request(operation)
+        history.record_answer(operation, answer, version, body)
     return history
 
 
