--- a/packages/explorer/src/dykeswitch/explorer/__init__.py
+++ b/packages/explorer/src/dykeswitch/explorer/__init__.py
@@ -1,6 +1,6 @@
-"""A model checker over the real code of the register, its membership changes and documents.
+"""Model checker for the real code of the register, its membership changes and its documents.
 
-The real coroutines run on an event loop whose every outside event (a message delivered or
-lost, a timer, a crash, a loss of power) is a choice. `search` makes the choices: all of them
-for a small scope, random ones by seed beyond. See docs/explore.md.
+The real coroutines run on an event loop in which every external event (a message delivered or
+lost, a timer, a crash, a power loss) is a choice. `exhaustive` tries all choices of a small
+scope; `randomised` samples the choices of wider scopes from a seed. See docs/explore.md.
 """
--- a/packages/explorer/src/dykeswitch/explorer/builds.py
+++ b/packages/explorer/src/dykeswitch/explorer/builds.py
@@ -1,4 +1,4 @@
-"""How the worlds of the scopes are set up."""
+"""Set-up functions for the worlds of the scopes."""
 
 import typing
 
@@ -14,7 +14,7 @@
 
 
 def _start_stores(world: worlds.World, names: typing.Sequence[str] = STORES) -> register.MemberSet:
-    """Stores that hold the founding member set."""
+    """Start stores and install the founding member set on each of them."""
     for name in names:
         world.add_store(name)
     world.run_until_quiescent()
@@ -37,7 +37,10 @@
 def _run_orders(
     members: register.MemberSet, *orders: tuple[str, int | None], read_count: int = 0
 ) -> nodes.Start:
-    """A registry that places orders one after another, then reads back; on a new start it reads."""
+    """Return a registry program that places the orders in sequence and then reads the key.
+
+    After a restart it only reads, at least once.
+    """
 
     async def start(registry: nodes.Registry) -> None:
         registry.make_proposer(members)
@@ -51,7 +54,7 @@
 
 
 def race(read_count: int, second_order: bool) -> executions.Build:
-    """Two registries change one key."""
+    """Return the set-up of a world in which two registries change the same key."""
 
     def build(world: worlds.World) -> None:
         members = _start_stores(world)
@@ -63,14 +66,14 @@
 
 
 def read(world: worlds.World) -> None:
-    """One registry changes a key, another reads it."""
+    """Set up one registry that changes a key and another that reads it."""
     members = _start_stores(world)
     world.add_registry("A", _run_orders(members, ("a1", None)))
     world.add_registry("B", _run_orders(members, read_count=1))
 
 
 def lost_disk(world: worlds.World) -> None:
-    """Two proposers, and one of three disks lost for good."""
+    """Set up two proposers that permanently cannot reach one of the three disks."""
     members = _start_stores(world)
     world.add_registry("A", _run_orders(members, ("a1", None), read_count=0))
     world.add_registry("B", _run_orders(members, ("b1", 0)))
@@ -79,7 +82,7 @@
 
 
 def power(order_count: int) -> executions.Build:
-    """One registry changes a key some times, then reads it."""
+    """Return the set-up of a world in which a registry changes a key several times, then reads it."""
 
     def build(world: worlds.World) -> None:
         members = _start_stores(world)
@@ -90,7 +93,11 @@
 
 
 def swap(rounds: int, both_reconcile: bool) -> executions.Build:
-    """A can't reach store s3, which lives on, and seats the spare s4 for it; B goes by the old set."""
+    """Return the set-up of a world in which registry A replaces store s3 by the spare s4.
+
+    A cannot reach s3, which keeps running. B uses the old member set or, with
+    `both_reconcile`, replaces the store as well.
+    """
 
     def build(world: worlds.World) -> None:
         members = _start_stores(world)
@@ -119,7 +126,10 @@
 
 
 def reseat(rounds: int, both_reconcile: bool) -> executions.Build:
-    """Store s3 comes back with an empty disk; A, or A and B at once, seat it while a key changes."""
+    """Return the set-up of a world in which store s3 restarts with an empty disk.
+
+    Registry A, or A and B concurrently, give it a vote again while a key changes.
+    """
 
     def build(world: worlds.World) -> None:
         members = _start_stores(world)
@@ -150,7 +160,10 @@
 
 
 def resend(competing_order: bool) -> executions.Build:
-    """An operator sends an order to A and, without a clear answer, the same order to B."""
+    """Return the set-up of a world in which an operator sends an order to A.
+
+    Without a conclusive answer the operator sends the same order to B.
+    """
 
     def build(world: worlds.World) -> None:
         members = _start_stores(world)
@@ -178,7 +191,10 @@
 
 
 def document_fetch(world: worlds.World) -> None:
-    """A changes a document and names it to P, which fetches it while it reads the register itself."""
+    """Set up a registry A that changes a document and announces its version to P.
+
+    P fetches the document while it reads the register itself.
+    """
     members = _start_stores(world)
 
     async def place_first_version(registry: nodes.Registry) -> None:
--- a/packages/explorer/src/dykeswitch/explorer/calls.py
+++ b/packages/explorer/src/dykeswitch/explorer/calls.py
@@ -1,4 +1,4 @@
-"""Calls between hosts: each is a request and a reply that the model delivers, or does not."""
+"""Calls between hosts. The model delivers or loses each request and each reply."""
 
 import asyncio
 import dataclasses
@@ -14,26 +14,26 @@
 
 
 class Phase(enum.Enum):
-    """Where a call is."""
+    """The state of a call."""
 
     REQUEST = "request"
     RUNNING = "running"
     REPLY = "reply"
-    # The host that ran it ended; the caller has yet to learn it.
+    # The target process ended during the call; the caller has not been notified yet.
     BROKEN = "broken"
 
 
 @fingerprint.exclude_from_fingerprint
 @dataclasses.dataclass(eq=False)
 class Call:
-    """One call on its way."""
+    """A call in progress."""
 
     source: hosts.Host
     target: hosts.Host
     kind: str
     body: bytes
     label: str
-    # Nothing where the caller waits no more: it gave up, or this is a second delivery.
+    # None if no caller is waiting: the caller gave up, or this is a duplicate delivery.
     future: asyncio.Future[frames.Result] | None
     phase: Phase = Phase.REQUEST
     reply: frames.Result | None = None
@@ -44,13 +44,13 @@
         self.both_ends = self.source_only | self.target_only
 
     def resolve(self, result: frames.Result) -> None:
-        """Hand the caller its result, if it still waits."""
+        """Return the result to the caller, if it is still waiting."""
         if self.future is not None and not self.future.done() and self.source.up:
             self.future.set_result(result)
         self.future = None
 
     def state(self) -> str:
-        """The call as text for a fingerprint."""
+        """Describe the call for a fingerprint."""
         reply = "" if self.reply is None else repr(self.reply)
         return f"{self.label} {self.body!r} {self.phase.value} {self.future is not None} {reply}"
 
@@ -60,7 +60,7 @@
 
 @fingerprint.exclude_from_fingerprint
 class ModelCallClient(frames.CallClient):
-    """Makes calls by way of the model."""
+    """Makes calls through the model."""
 
     def __init__(self, host: hosts.Host, send: Send) -> None:
         super().__init__(hosts.NoNetwork())
@@ -68,12 +68,12 @@
         self._send = send
 
     async def call(self, address: str, kind: str, body: frames.Body, timeout_s: float) -> frames.Result:
-        """Send one request and wait for what the model makes of it."""
+        """Send a request and wait until the model delivers a reply or an error."""
         return await self._send(self._host, address, kind, body)
 
 
 async def serve(handlers: typing.Mapping[str, frames.Handler], call: Call) -> None:
-    """Run a call at its target, as `frames.CallServer` does."""
+    """Run a call at its target, in the same way as `frames.CallServer`."""
     handler = handlers.get(call.kind)
     if handler is None:
         result: frames.Result = outcome.failure("no_kind", call.kind)
@@ -87,7 +87,7 @@
 
 
 def round_trip_encoding(result: frames.Result) -> frames.Result:
-    """A result as its caller reads it."""
+    """Encode and decode a result, as it would be on its way to the caller."""
     if isinstance(result, outcome.Success):
         body: frames.Body = cbor2.loads(cbor2.dumps(result.value))
         return outcome.Success(body)
@@ -95,7 +95,7 @@
 
 
 def describe(source: str, target: str, kind: str, body: frames.Body) -> str:
-    """A call in a few words."""
+    """Return a short label for a call, which is its name in traces."""
     parts = [f"{source}->{target}", kind]
     if "key" in body:
         parts.append(str(body["key"]))
--- a/packages/explorer/src/dykeswitch/explorer/choices.py
+++ b/packages/explorer/src/dykeswitch/explorer/choices.py
@@ -1,4 +1,4 @@
-"""The events that can happen next in a world."""
+"""Lists the events that can happen next in a world."""
 
 import functools
 import typing
@@ -14,9 +14,9 @@
 
 
 def enabled(world: "worlds.World") -> list[events.Event]:
-    """Every event that can happen now, the usual ones first."""
-    if world.pending_power_loss is not None:
-        return _power_loss_events(world, world.pending_power_loss)
+    """Return every event that can happen now, fault-free events first."""
+    if world.power_loss is not None:
+        return _power_loss_events(world, world.power_loss)
     found: list[events.Event] = []
     for call in world.calls:
         found += _call_events(world, call)
@@ -34,8 +34,12 @@
 
 
 def _skipped_by_symmetry(world: "worlds.World") -> frozenset[str]:
-    """Stores like another that comes first: to begin with them leads to a state like its."""
-    untouched = [name for name in world.settings.interchangeable if name not in world.touched]
+    """Return the stores that symmetry excludes for now.
+
+    Of the interchangeable stores that no event has involved yet, only the first is considered:
+    starting with another one leads to an equivalent state.
+    """
+    untouched = [name for name in world.settings.interchangeable if name not in world.touched_hosts]
     return frozenset(untouched[1:])
 
 
@@ -64,7 +68,7 @@
 
 
 def _fault_free_event(world: "worlds.World", call: calls.Call) -> events.Event | None:
-    """What becomes of a call where no fault strikes."""
+    """Return the next event of a call without a fault, if there is one."""
     request_link, reply_link = (call.source.name, call.target.name), (call.target.name, call.source.name)
     if (reply_link if call.phase is calls.Phase.REPLY else request_link) in world.cuts:
         if call.future is None:
@@ -141,7 +145,7 @@
 
 
 def _power_loss_events(world: "worlds.World", power_loss: nodes.PowerLoss) -> list[events.Event]:
-    """Whether the next of the unsynced changes is kept or lost."""
+    """Return the two outcomes of the next unsynced change: kept or lost."""
     affected = frozenset({power_loss.store.host.name})
     label = f"{power_loss.store.host.name} {power_loss.undecided[0].text()}"
     return [
@@ -151,7 +155,10 @@
 
 
 def _with_waiting_hosts(world: "worlds.World", found: list[events.Event]) -> list[events.Event]:
-    """The events with all hosts that a prompt reply, or a reply to that, may come to."""
+    """Add to each event the hosts that it may reach through immediate replies.
+
+    A reply may let its caller answer a call in turn, so all waiting callers are included.
+    """
     running = [call for call in world.calls if call.phase is calls.Phase.RUNNING]
     return (
         [event._replace(hosts=_waiting_closure(event.hosts, running)) for event in found]
@@ -161,7 +168,7 @@
 
 
 def _waiting_closure(names: frozenset[str], running: list[calls.Call]) -> frozenset[str]:
-    """Hosts, those that wait for a reply of theirs, those that wait for them, and so on."""
+    """Return the hosts together with all hosts that directly or indirectly wait for them."""
     while waiting := frozenset(c.source.name for c in running if c.target.name in names) - names:
         names |= waiting
     return names
--- a/packages/explorer/src/dykeswitch/explorer/clients.py
+++ b/packages/explorer/src/dykeswitch/explorer/clients.py
@@ -1,4 +1,7 @@
-"""What the registries of a scope do: place orders, read back, tend the member set, carry documents."""
+"""Operations of the registries in a scope.
+
+Registries place orders, read keys, reconcile the member set and distribute documents.
+"""
 
 import typing
 
@@ -19,19 +22,22 @@
 ORDER_CALL: typing.Final = "order"
 VERSION_CALL: typing.Final = "news"
 TIMELINE_RETENTION_S: typing.Final = 1000.0
-# For how long a store must be silent before it is replaced.
+# A sleep of this length exceeds the silence after which a store is replaced.
 REPLACE_AFTER_S: typing.Final = settings.Settings().disk_replace_after_s + 1.0
 
 
 def order_step(order: str, body: bytes, expected: int | None) -> proposers.Step:
-    """An operator's order: taken once, and only on top of the version that it expects."""
+    """Return the change that an operator's order makes to a key's value.
+
+    The order is applied at most once, and only to the version that it expects.
+    """
 
-    def step(now: register.Value) -> register.Value | outcome.Failure:
-        if now.version_of(order) is not None:
-            return now
-        if expected is not None and now.version != expected:
-            return outcome.failure("lost_race", f"newest is {now.version}")
-        return now.successor(body, order)
+    def step(current: register.Value) -> register.Value | outcome.Failure:
+        if current.version_of(order) is not None:
+            return current
+        if expected is not None and current.version != expected:
+            return outcome.failure("lost_race", f"newest is {current.version}")
+        return current.successor(body, order)
 
     return step
 
@@ -39,7 +45,10 @@
 async def place_order(
     registry: nodes.Registry, key: str, order: str, body: bytes, expected: int | None = None
 ) -> int:
-    """Change a key on behalf of an operator at this registry; the version made, if acknowledged."""
+    """Change a key on behalf of an operator at this registry.
+
+    Returns the new version if the order was acknowledged, 0 otherwise.
+    """
     history = registry.world.history
     client = registry.host.name
     number = history.next_number_for(client)
@@ -50,17 +59,17 @@
     assert registry.proposer is not None
     result = await registry.proposer.change(key, order_step(order, body, expected))
     if isinstance(result, outcome.Success):
-        registry.world.record_reported(key, result.value)
+        registry.world.record_reported_value(key, result.value)
     record_order_result(registry.world, operation, result)
     return operation.version
 
 
 def record_order_result(world: worlds.World, operation: histories.Operation, result: proposers.Read) -> None:
-    """Note what an operator is told of an order."""
+    """Record the answer that an operator gets to an order."""
     if isinstance(result, outcome.Success):
         version = result.value.version_of(operation.order)
         if version is None:
-            world.record_violation(f"I5 {operation.order} is acknowledged and not among the changes made")
+            world.record_violation(f"I5 {operation.order} is acknowledged but missing from the changes made")
         else:
             world.history.record_answer(operation, histories.Answer.ACKNOWLEDGED, version)
         return
@@ -68,17 +77,17 @@
 
 
 def answer_for_failure(failure: outcome.Failure) -> histories.Answer:
-    """What a bad outcome tells an operator."""
+    """Return the answer that an operator gets for a failure."""
     if failure.code.tag == "lost_race":
         return histories.Answer.REFUSED
-    # A caller that hears nothing knows as little as one that is told so.
+    # A missing reply is as inconclusive as a reply that says the result is unknown.
     if failure.code.tag in ("unknown", "no_reply"):
         return histories.Answer.UNKNOWN
     return histories.Answer.FAILED
 
 
 async def read_back(registry: nodes.Registry, key: str) -> None:
-    """Read a key on behalf of an operator at this registry, and note what it is told."""
+    """Read a key on behalf of an operator at this registry and record the answer."""
     history = registry.world.history
     client = registry.host.name
     operation = histories.Operation(client, history.next_number_for(client), histories.Kind.READ, key)
@@ -87,14 +96,14 @@
     result = await registry.proposer.read(key)
     if isinstance(result, outcome.Success):
         value = result.value
-        registry.world.record_reported(key, value)
+        registry.world.record_reported_value(key, value)
         history.record_answer(operation, histories.Answer.READ, value.version, value.body)
     else:
         history.record_answer(operation, answer_for_failure(result))
 
 
 def serve_orders(registry: nodes.Registry) -> None:
-    """Take orders by call, as from operators elsewhere."""
+    """Accept orders as calls from operators on other hosts."""
 
     async def handle(body: frames.Body) -> frames.Result:
         assert registry.proposer is not None
@@ -103,7 +112,7 @@
         result = await registry.proposer.change(str(body["key"]), step)
         if isinstance(result, outcome.Failure):
             return result
-        registry.world.record_reported(str(body["key"]), result.value)
+        registry.world.record_reported_value(str(body["key"]), result.value)
         return outcome.Success({"version": result.value.version_of(order)})
 
     registry.serve({ORDER_CALL: handle})
@@ -112,7 +121,10 @@
 async def send_order(
     operator: nodes.Registry, target: str, key: str, order: str, body: bytes, expected: int | None = None
 ) -> bool:
-    """Send an order to a registry; false where no clear answer came."""
+    """Send an order to a registry.
+
+    Returns False if the answer does not say whether the order was applied or refused.
+    """
     history = operator.world.history
     client = operator.host.name
     operation = histories.Operation(
@@ -139,7 +151,7 @@
 def make_reconfiguration(
     registry: nodes.Registry, proposer: proposers.Proposer, founders: typing.Sequence[str]
 ) -> reconfigurations.Reconfiguration:
-    """The member set's keeper at this registry."""
+    """Return the reconfiguration component of this registry, which maintains the member set."""
     config = settings.Settings(name=registry.host.name, founders=tuple(founders))
     reconfiguration = reconfigurations.Reconfiguration(
         registry.host.name,
@@ -153,14 +165,14 @@
     return reconfiguration
 
 
-async def _read_any(name: str, version: int, data: bytes) -> documents.Apply | None:
+async def _accept_any(name: str, version: int, data: bytes) -> documents.Apply | None:
     return lambda: None
 
 
 def make_documents(registry: nodes.Registry) -> tuple[documents.Documents, timelines.Timeline]:
-    """The documents that this host holds and hands on, and the timeline they are named on."""
+    """Return the documents that this host stores and serves, and the timeline with their versions."""
     timeline = timelines.Timeline(registry.host.name, registry.clock(), TIMELINE_RETENTION_S)
-    local_documents = documents.Documents(timeline, registry.call_client(), nodes.CALL_TIMEOUT_S, _read_any)
+    local_documents = documents.Documents(timeline, registry.call_client(), nodes.CALL_TIMEOUT_S, _accept_any)
     registry.host.memory.append(local_documents)
     registry.document_versions = lambda: {name: local_documents.version(name) for name in documents.NAMES}
     return local_documents, timeline
@@ -171,7 +183,7 @@
     timeline: timelines.Timeline,
     addresses: typing.Sequence[ports.Address],
 ) -> dict[str, frames.Handler]:
-    """Hear which version there is of the layout, and fetch it from these members."""
+    """Return handlers that accept a layout version and fetch that layout from the given members."""
 
     async def handle(body: frames.Body) -> frames.Result:
         timeline.write(
--- a/packages/explorer/src/dykeswitch/explorer/disk.py
+++ b/packages/explorer/src/dykeswitch/explorer/disk.py
@@ -1,4 +1,7 @@
-"""Disks whose writes are events of the model, and that lose power between any two steps."""
+"""Simulated disks whose operations are events of the model.
+
+Power can be lost between any two steps of an operation.
+"""
 
 import asyncio
 import dataclasses
@@ -12,12 +15,12 @@
 
 
 class PowerLostError(OSError):
-    """The machine lost power at this step."""
+    """The machine lost power before this step."""
 
 
 @dataclasses.dataclass(slots=True)
 class PendingWork:
-    """A piece of work that waits for its disk."""
+    """A disk operation that has not been performed yet."""
 
     run: typing.Callable[[], object]
     completion: asyncio.Future[typing.Any]
@@ -25,96 +28,97 @@
 
 @fingerprint.exclude_from_fingerprint
 class MemoryDisk:
-    """A disk whose every piece of work is whole or absent."""
+    """A disk without files, whose operations are atomic."""
 
     def __init__(self, stepwise: bool) -> None:
-        # Whether work waits for an event of its own, or is done as it is asked for.
+        # Whether each operation waits for an event of its own or is performed immediately.
         self._stepwise = stepwise
-        # Each key's record, as cbor2.
+        # The record of each key, encoded as CBOR.
         self.records: dict[str, bytes] = {}
         self.pending: list[PendingWork] = []
         self.voted_before = False
 
     @property
     def root(self) -> pathlib.Path:
-        """Where the files lie; this disk has none."""
-        raise NotImplementedError("a disk without files")
+        """The root folder; this disk has none."""
+        raise NotImplementedError("this disk has no files")
 
     def sync_file(self, path: pathlib.Path) -> None:
-        """Make a file's bytes last."""
-        raise NotImplementedError("a disk without files")
+        """Make a file's content durable."""
+        raise NotImplementedError("this disk has no files")
 
     def sync_folder(self, path: pathlib.Path) -> None:
-        """Make a folder's names last."""
-        raise NotImplementedError("a disk without files")
+        """Make the names in a folder durable."""
+        raise NotImplementedError("this disk has no files")
 
     def rename(self, old: pathlib.Path, new: pathlib.Path) -> None:
-        """Give a file or folder another name."""
-        raise NotImplementedError("a disk without files")
+        """Rename a file or folder."""
+        raise NotImplementedError("this disk has no files")
 
     def drop(self, path: pathlib.Path) -> None:
         """Remove a file or folder."""
-        raise NotImplementedError("a disk without files")
+        raise NotImplementedError("this disk has no files")
 
     async def run(self, work: typing.Callable[[], T]) -> T:
-        """Do a piece of work, when the scheduler lets it be done."""
+        """Perform an operation when the search chooses its event."""
         if not self._stepwise:
             return work()
-        piece = PendingWork(work, asyncio.get_running_loop().create_future())
-        self.pending.append(piece)
-        result: T = await piece.completion
+        operation = PendingWork(work, asyncio.get_running_loop().create_future())
+        self.pending.append(operation)
+        result: T = await operation.completion
         return result
 
     def run_next(self) -> None:
-        """Do the piece of work that has waited longest."""
-        piece = self.pending.pop(0)
+        """Perform the operation that has been pending longest."""
+        operation = self.pending.pop(0)
         try:
-            result = piece.run()
-        except Exception as error:  # Whatever it is, it is the caller's to handle.
-            piece.completion.set_exception(error)
+            result = operation.run()
+        except Exception as error:  # The caller handles any error of the operation.
+            operation.completion.set_exception(error)
             return
-        piece.completion.set_result(result)
+        operation.completion.set_result(result)
 
     def stop(self) -> None:
-        """The process ends; what waited is never done."""
+        """Discard all pending operations when the process ends."""
         self.pending.clear()
 
     def content(self) -> str:
-        """What lies on the disk, as text for a fingerprint."""
+        """Describe the content of the disk for a fingerprint."""
         return f"{self.voted_before} {sorted(self.records.items())}"
 
 
-# A thing on disk that keeps its number when it is renamed.
+# Identifies a file or folder; unlike its path, it stays the same when it is renamed.
 Inode = int
 
 TORN_CONTENT: typing.Final = b"\x00torn"
-# In place of a name: the loose change is that of a file's own bytes.
+# Used in place of a name: the unsynced change is one of a file's own content.
 FILE_CONTENT: typing.Final = ""
-# No piece of work that a store does has more steps than this.
+# Upper bound for the number of steps of a store's disk operation.
 MAX_STEPS: typing.Final = 9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnsyncedChange:
-    """A change of one name in one folder, or of one file's bytes, that no sync has made last."""
+    """A change of a name in a folder, or of a file's content, that no sync has made durable."""
 
+    # The folder that has the name, or the file whose content changed.
     inode: Inode
     name: str
-    # What the name stands for after the change; nothing where it was removed.
+    # What the name refers to after the change; None if the name was removed.
     child: Inode | None
 
     def text(self) -> str:
-        """The change in a few words."""
+        """Return a short description, which is part of event keys in traces."""
         if self.name == FILE_CONTENT:
             return f"bytes of file {self.inode}"
         return f"{'removal of ' if self.child is None else ''}{self.name} in folder {self.inode}"
 
 
 class FileDisk(MemoryDisk):
-    """Real files, and beside them what a loss of power would leave.
+    """A disk with real files that also tracks what a power loss would leave of them.
 
-    Each name that was made, renamed or removed since its folder was synced, and each file's
-    bytes written since the file was synced, may be kept or lost by itself.
+    Each name that was created, renamed or removed since its folder was last synced, and each
+    file's content written since the file was last synced, may be kept or lost independently.
     """
 
     def __init__(self, root: pathlib.Path, stepwise: bool) -> None:
@@ -123,16 +127,16 @@
         root.mkdir(parents=True, exist_ok=True)
         self._inodes: dict[pathlib.Path, Inode] = {root: 0}
         self._next_inode = 1
-        # What lasts: each folder's names and each file's bytes, as of their last sync.
+        # The durable state: each folder's names and each file's content as of the last sync.
         self._synced_names: dict[Inode, dict[str, Inode]] = {0: {}}
         self._synced_content: dict[Inode, bytes] = {}
-        # Steps of the running piece of work, and the one before which power is lost.
+        # The steps done in the current operation, and the step before which power is lost.
         self._step_count = 0
         self._power_loss_step: int | None = None
 
     @property
     def root(self) -> pathlib.Path:
-        """Where the files lie; this disk has none."""
+        """The root folder of the files."""
         return self._root
 
     def _inode_of(self, path: pathlib.Path) -> Inode:
@@ -149,17 +153,17 @@
         self._step_count += 1
 
     def sync_file(self, path: pathlib.Path) -> None:
-        """Make a file's bytes last."""
+        """Make a file's content durable."""
         self._begin_step()
         self._synced_content[self._inode_of(path)] = path.read_bytes()
 
     def sync_folder(self, path: pathlib.Path) -> None:
-        """Make a folder's names last."""
+        """Make the names in a folder durable."""
         self._begin_step()
         self._synced_names[self._inode_of(path)] = self._children(path)
 
     def rename(self, old: pathlib.Path, new: pathlib.Path) -> None:
-        """Give a file or folder another name."""
+        """Rename a file or folder."""
         self._begin_step()
         self._assign_inodes(old)
         moved = {p: n for p, n in self._inodes.items() if p == old or old in p.parents}
@@ -182,42 +186,45 @@
         return {child.name: self._inode_of(child) for child in sorted(folder.iterdir())}
 
     def _assign_inodes(self, path: pathlib.Path) -> None:
-        """Give a number to all that lies at and under a path."""
+        """Assign inodes to a path and everything below it."""
         self._inode_of(path)
         if path.is_dir():
             for child in sorted(path.iterdir()):
                 self._assign_inodes(child)
 
     def cut_power(self, power_loss_step: int) -> list[UnsyncedChange]:
-        """Do the next piece of work up to a step; hand back what may be kept or lost."""
+        """Perform the next operation up to a step; returns the changes that may be kept or lost."""
         if self.pending:
             self._step_count, self._power_loss_step = 0, power_loss_step
             try:
                 self.pending[0].run()
             except OSError:
-                # The power went, whatever the work makes of it.
+                # Power is lost regardless of how the operation handles the error.
                 pass
             self._power_loss_step = None
         self._assign_inodes(self._root)
         return self._unsynced_changes()
 
     def _unsynced_changes(self) -> list[UnsyncedChange]:
-        """Every change of a name, or of a file's bytes, that no sync has made last."""
+        """Return every change of a name or of a file's content that is not durable yet."""
         found: list[UnsyncedChange] = []
         paths = {inode: path for path, inode in self._inodes.items()}
-        for inode, synced in sorted(self._synced_names.items()):
-            # A folder that is gone from the live tree has lost its names one by one.
-            live = self._children(paths[inode]) if inode in paths else {}
+        for folder_inode, synced in sorted(self._synced_names.items()):
+            # Each name of a folder that is no longer in the live tree counts as removed.
+            live = self._children(paths[folder_inode]) if folder_inode in paths else {}
             for name in sorted(synced.keys() | live.keys()):
                 if synced.get(name) != live.get(name):
-                    found.append(UnsyncedChange(inode, name, live.get(name)))
-        for inode, path in sorted(paths.items()):
-            if inode not in self._synced_names and self._synced_content.get(inode) != path.read_bytes():
-                found.append(UnsyncedChange(inode, FILE_CONTENT, inode))
+                    found.append(UnsyncedChange(folder_inode, name, live.get(name)))
+        for file_inode, path in sorted(paths.items()):
+            if (
+                file_inode not in self._synced_names
+                and self._synced_content.get(file_inode) != path.read_bytes()
+            ):
+                found.append(UnsyncedChange(file_inode, FILE_CONTENT, file_inode))
         return found
 
     def reachable(self, kept: list[UnsyncedChange], undecided: list[UnsyncedChange]) -> set[Inode]:
-        """What may be on the disk by these changes and any of those; all else is out of reach."""
+        """Return everything that can be reached with the kept and any of the undecided changes."""
         found: set[Inode] = set()
         queue = [0]
         while queue:
@@ -230,7 +237,7 @@
         return found
 
     def lose_power(self, kept: typing.Collection[UnsyncedChange]) -> None:
-        """Leave what was synced, and of the rest what is named."""
+        """Reduce the files to the synced state plus the changes that are kept."""
         paths = {inode: path for path, inode in self._inodes.items()}
         for change in kept:
             if change.name == FILE_CONTENT:
@@ -250,11 +257,11 @@
             if child in self._synced_names:
                 self._write_surviving(child, path / name)
             else:
-                # Bytes that were never synced may be anything: here, a torn part.
+                # Content that was never synced may be anything: a torn write stands for it.
                 (path / name).write_bytes(self._synced_content.get(child, TORN_CONTENT))
 
     def after_restart(self) -> "FileDisk":
-        """The same files as a machine finds them that starts again: all of them last."""
+        """Return the disk as found by a restarted machine: all remaining files are durable."""
         restarted = FileDisk(self._root, self._stepwise)
         restarted._assign_inodes(self._root)
         for path, inode in list(restarted._inodes.items()):
@@ -266,7 +273,7 @@
         return restarted
 
     def content(self) -> str:
-        """What lies on the disk and what of it lasts, as text for a fingerprint."""
+        """Describe the content and the durable state of the disk for a fingerprint."""
         live = sorted(
             (str(path.relative_to(self._root)), inode, b"" if path.is_dir() else path.read_bytes())
             for path, inode in self._inodes.items()
--- a/packages/explorer/src/dykeswitch/explorer/events.py
+++ b/packages/explorer/src/dykeswitch/explorer/events.py
@@ -1,4 +1,4 @@
-"""The events that a scheduler chooses among."""
+"""The events that a search chooses from."""
 
 import collections
 import enum
@@ -6,7 +6,7 @@
 
 
 class Kind(enum.Enum):
-    """What happens."""
+    """The kind of an event. The values are part of traces, which can be replayed."""
 
     DELIVER = "deliver"
     ANSWER = "answer"
@@ -17,7 +17,7 @@
     HEAL = "heal"
     KEEP = "kept"
     DROP = "lost"
-    # From here on faults, each of which takes from its budget.
+    # The kinds below are faults; each of them uses the budget of its kind.
     LOSE = "lose"
     GIVE_UP = "give up"
     DUPLICATE = "duplicate"
@@ -26,27 +26,27 @@
     WIPE = "wipe"
     CUT = "cut"
 
-    # There is one object for each kind; the usual hash, by name, is slow.
+    # Members are singletons, so hashing by identity is enough; the default hash of the name is slow.
     __hash__ = object.__hash__
 
 
-NAMES: typing.Final = {kind: kind.value for kind in Kind}
+KIND_NAMES: typing.Final = {kind: kind.value for kind in Kind}
 
 Budget = typing.Mapping[Kind, int]
 
 
 class Event(typing.NamedTuple):
-    """Something that can happen now."""
+    """An event that can happen now."""
 
     kind: Kind
-    # The event's name in a trace, the same in each execution.
+    # The event's name in a trace; the same in every execution.
     key: str
-    # The hosts whose state it reads or changes; events with none in common commute.
+    # The hosts whose state the event reads or changes; events without common hosts commute.
     hosts: frozenset[str]
     perform: typing.Callable[[], None]
-    # False where it is free: a call over a cut connection is given up on at no cost.
+    # False for events that use no budget, such as giving up a call over a cut connection.
     uses_budget: bool = False
-    # All that the event brings to its hosts, beyond its key.
+    # Returns the input that the event brings to its hosts, in addition to its key.
     detail: typing.Callable[[], str] = str
 
 
@@ -58,17 +58,17 @@
     uses_budget: bool = False,
     detail: typing.Callable[[], str] = str,
 ) -> Event:
-    """An event, named by its kind and what it happens to."""
-    return Event(kind, f"{NAMES[kind]}: {label}", hosts, perform, uses_budget, detail)
+    """Create an event whose key consists of its kind and a label."""
+    return Event(kind, f"{KIND_NAMES[kind]}: {label}", hosts, perform, uses_budget, detail)
 
 
 def search_order(event: Event) -> tuple[bool, bool]:
-    """A sort key: answers first, faults last."""
+    """Return a sort key that puts answers first and faults last."""
     return (event.uses_budget, event.kind is not Kind.ANSWER)
 
 
 def with_unique_keys(events: list[Event]) -> list[Event]:
-    """The events with a number behind each name that is not the first of its kind."""
+    """Make the keys unique: repetitions of a key get a number appended."""
     if len({event.key for event in events}) == len(events):
         return events
     seen: collections.Counter[str] = collections.Counter()
--- a/packages/explorer/src/dykeswitch/explorer/execution.py
+++ b/packages/explorer/src/dykeswitch/explorer/execution.py
@@ -1,4 +1,4 @@
-"""One execution of a plan: its world, its trace, and what it breaks."""
+"""One execution of a plan: its world, its trace and the violation that it finds."""
 
 import dataclasses
 import pathlib
@@ -17,23 +17,23 @@
 Trace = tuple[str, ...]
 
 
-# Sets up a world.
+# A function that sets up a world.
 Build = typing.Callable[[worlds.World], None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What is executed, and what it may meet."""
+    """What an execution sets up, and which faults it allows."""
 
     build: Build
     settings: nodes.Settings
-    # An execution that has so many events is cut short; the figures tell how many were.
+    # Executions are cut short after this many events; `Figures.cut_short` counts them.
     max_events: int = 400
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Violation:
-    """What broke, and the events that led to it."""
+    """A violated invariant, the events that led to it and the history of operations."""
 
     message: str
     trace: Trace
@@ -42,9 +42,9 @@
 
 @dataclasses.dataclass(slots=True)
 class Figures:
-    """What a search did."""
+    """The results of a search."""
 
-    # Different states; random schedules do not count them.
+    # Distinct states; random schedules do not count them.
     states: int = 0
     executions: int = 0
     events: int = 0
@@ -52,7 +52,7 @@
     cut_short: int = 0
     seconds: float = 0.0
     processor_seconds: float = 0.0
-    # Whether an exhaustive search has come to its end.
+    # Whether an exhaustive search has covered the whole scope.
     complete: bool = False
     violation: Violation | None = None
 
@@ -61,7 +61,7 @@
 
 
 class Execution:
-    """One execution from the start."""
+    """One execution, from the set-up of its world on."""
 
     def __init__(self, plan: Plan, host_states: dict[bytes, fingerprint.HostState] | None = None) -> None:
         self._plan = plan
@@ -79,11 +79,11 @@
         return records.use_storage_class(records.ObservedStorage if real else records.AtomicStorage)
 
     def enabled(self) -> list[events.Event]:
-        """What may happen next; nothing once an invariant is broken."""
+        """Return the events that can happen next; none after a violation."""
         return [] if self.world.violation else choices.enabled(self.world)
 
     def perform(self, event: events.Event, check_invariants: bool = True) -> None:
-        """Let one event happen; it need not be judged where it was before."""
+        """Perform an event; the invariants need not be checked again while a path is repeated."""
         self.trace.append(event.key)
         answer_count_before = self.world.history.answer_count
         with self._use_storage_class():
@@ -96,14 +96,14 @@
             self.world.record_violation("I9 no order of the operations explains their answers")
 
     def violation(self) -> Violation | None:
-        """What broke, if anything did."""
+        """Return the violation, if there is one."""
         if not self.world.violation:
             return None
         operations = tuple(operation.text() for _, operation in sorted(self.world.history.operations.items()))
         return Violation(self.world.violation, tuple(self.trace), operations)
 
     def close(self) -> None:
-        """Free what the execution holds."""
+        """Release the resources of the execution."""
         self.world.close()
         if self._scratch_folder is not None:
             shutil.rmtree(self._scratch_folder, ignore_errors=True)
--- a/packages/explorer/src/dykeswitch/explorer/exhaustive.py
+++ b/packages/explorer/src/dykeswitch/explorer/exhaustive.py
@@ -1,4 +1,4 @@
-"""Searches every order of events of a small scope."""
+"""Exhaustive search over every order of events in a small scope."""
 
 import dataclasses
 import time
@@ -10,16 +10,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SleepEntry:
-    """An event that need not be taken: an order that begins with it was searched already."""
+    """An event in a sleep set: orders that begin with it have already been searched."""
 
     hosts: frozenset[str]
     uses_budget: bool
-    # Whether a client asked or was told something by it: their order is what is judged.
+    # Whether the event made a client send a request or get an answer: the linearizability check
+    # depends on the order of requests and answers.
     has_request: bool
     has_answer: bool
 
     def commutes_with(self, other: "SleepEntry") -> bool:
-        """Whether both orders of two events lead to one state."""
+        """Return whether both orders of the two events lead to the same state."""
         if self.hosts & other.hosts or (self.uses_budget and other.uses_budget):
             return False
         return not (self.has_request and other.has_answer) and not (self.has_answer and other.has_request)
@@ -30,7 +31,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Node:
-    """A state on the path that is being searched."""
+    """A state on the current path of the search."""
 
     sleep_set: SleepSet
     untried: list[str]
@@ -39,9 +40,9 @@
 class Exhaustive:
     """Depth-first search of every order of events.
 
-    A state that was seen is not searched again. Sleep sets leave out orders that differ only in
-    events that commute; a state seen under a smaller sleep set is searched anew for what the
-    first visit left asleep (Godefroid's state-space caching).
+    A visited state is not searched again. Sleep sets skip orders that differ only in events that
+    commute. A state that is visited again with a smaller sleep set is searched for the events
+    that earlier visits skipped (Godefroid's state-space caching).
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         self.figures = executions.Figures()
 
     def run(self, max_executions: int | None = None) -> executions.Figures:
-        """Search until all is seen, something breaks, or time or executions are used up."""
+        """Search until all states are visited, a violation is found, or a limit is reached."""
         started_at, cpu_started_at = time.monotonic(), time.process_time()
         has_more = True
         while has_more and self.figures.violation is None:
@@ -71,7 +72,7 @@
         return self.figures
 
     def _execute(self) -> None:
-        """Take the path again and go on from its end to an end or to a state seen."""
+        """Repeat the current path, then extend it to a final or already visited state."""
         figures = self.figures
         figures.executions += 1
         execution = executions.Execution(self._plan, self._host_states)
@@ -119,8 +120,8 @@
             and not entry.has_request
             and not entry.has_answer
         ):
-            # An answer that nobody waits for changes nothing, so it may as well come first;
-            # what else may become of the same call stays to be tried.
+            # An answer that no task waits for changes nothing, so it can come first without loss
+            # of generality; the other outcomes of the same call still have to be tried.
             if execution.world.host_state(answered_host).only_child_finished(state_before):
                 call_label = key.partition(": ")[2]
                 parent.untried = [other for other in parent.untried if other.partition(": ")[2] == call_label]
@@ -142,7 +143,7 @@
         self._path.append(_Node(sleep_set, untried))
 
     def _backtrack(self) -> bool:
-        """Back to the last state with events left; false where there is none."""
+        """Return to the last state with untried events; False if there is none."""
         while self._path and not self._path[-1].untried:
             self._path.pop()
             if self._path_keys:
--- a/packages/explorer/src/dykeswitch/explorer/fingerprint.py
+++ b/packages/explorer/src/dykeswitch/explorer/fingerprint.py
@@ -1,7 +1,7 @@
-"""A digest of a process's memory: its objects and where each of its coroutines stands.
+"""Digests of a process's memory: its objects and the position of each of its coroutines.
 
-Two states with one digest are taken for one state. What is left out: the order of a dict's
-keys, whether two equal objects are the same object, and who waits first for a lock.
+Two states with the same digest are treated as the same state. Digests don't cover the order of
+a dict's keys, whether two equal objects are the same object, or the order of waiters for a lock.
 """
 
 import asyncio
@@ -18,8 +18,8 @@
 DIGEST_SIZE_BYTES: typing.Final = 16
 _PLAIN_TYPES: typing.Final = frozenset({type(None), str, bytes, int, float, bool})
 
-# Objects that belong to the model or hold no state of the process.
-_excluded_types: list[type] = [
+# Objects of these classes belong to the model or contain no state of the process.
+_excluded_classes: list[type] = [
     hosts.Host,
     hosts.HostClock,
     hosts.NoNetwork,
@@ -30,28 +30,28 @@
 ]
 
 
-def exclude_from_fingerprint(kind: type) -> type:
-    """A class decorator: objects of this class are no part of a fingerprint."""
-    _excluded_types.append(kind)
-    return kind
+def exclude_from_fingerprint(cls: type) -> type:
+    """Class decorator that excludes the objects of a class from fingerprints."""
+    _excluded_classes.append(cls)
+    return cls
 
 
-_is_excluded_by_type: dict[type, bool] = {}
+_is_excluded_by_class: dict[type, bool] = {}
 
 
-def _is_excluded(kind: type) -> bool:
-    if kind not in _is_excluded_by_type:
-        _is_excluded_by_type[kind] = issubclass(kind, tuple(_excluded_types))
-    return _is_excluded_by_type[kind]
+def _is_excluded(cls: type) -> bool:
+    if cls not in _is_excluded_by_class:
+        _is_excluded_by_class[cls] = issubclass(cls, tuple(_excluded_classes))
+    return _is_excluded_by_class[cls]
 
 
 class _Serializer:
-    """Turns objects into text, each at most once."""
+    """Converts objects to text, each object at most once."""
 
     def __init__(self) -> None:
         self._texts: dict[int, str] = {}
         self._in_progress: set[int] = set()
-        # Keeps each object alive while its id is a key.
+        # Keeps objects alive, since an id may be reused once its object is freed.
         self._references: list[object] = []
 
     def text(self, value: object) -> str:
@@ -75,7 +75,8 @@
         if isinstance(value, dict):
             return "{" + ",".join(sorted(f"{self.text(k)}:{self.text(v)}" for k, v in value.items())) + "}"
         if isinstance(value, set | frozenset):
-            # A task that runs is among its host's tasks: who keeps it alive is no state.
+            # Unfinished tasks are covered by their host's tasks; references that only keep them
+            # alive are not state.
             parts = [part for part in value if not (isinstance(part, asyncio.Task) and not part.done())]
             return "{" + ",".join(sorted(self.text(part) for part in parts)) + "}"
         if _is_excluded(type(value)):
@@ -109,7 +110,7 @@
         if isinstance(future, asyncio.Task):
             waiter = getattr(future, "_fut_waiter", None)
             return f"task {self._coroutine(future.get_coro())} on {self.text(waiter)}"
-        # What `gather` waits for holds the results that are already there.
+        # The future of `gather` refers to its children, which contain the results so far.
         return f"future {self.text(getattr(future, '_children', None))}"
 
     def _coroutine(self, coroutine: typing.Any) -> str:
@@ -134,28 +135,28 @@
     if dataclasses.is_dataclass(value):
         return {field.name: getattr(value, field.name, None) for field in dataclasses.fields(value)}
     fields = dict(getattr(value, "__dict__", {}))
-    for kind in type(value).__mro__:
-        for name in getattr(kind, "__slots__", ()):
+    for cls in type(value).__mro__:
+        for name in getattr(cls, "__slots__", ()):
             if name != "__weakref__":
                 fields[name] = getattr(value, name, None)
     return fields
 
 
 def digest(text: str) -> bytes:
-    """A short digest of any text."""
+    """Return a short digest of a text."""
     return hashlib.blake2b(text.encode("utf-8", "surrogateescape"), digest_size=DIGEST_SIZE_BYTES).digest()
 
 
 class HostState(typing.NamedTuple):
-    """The digests of a host's parts."""
+    """The digests of the parts of a host's state."""
 
-    # Its memory, timers and the tasks that the model began on it.
+    # The memory, the timers and the tasks that the model started.
     core: bytes
-    # The tasks that its own code began.
+    # The tasks that the code of the host started itself.
     children: tuple[bytes, ...]
 
     def only_child_finished(self, before: "HostState") -> bool:
-        """Whether all that came of an event is that a task ended which nobody waited for."""
+        """Return whether the only change is that one task ended that no other task waited for."""
         if self.core != before.core or len(self.children) + 1 != len(before.children):
             return False
         remaining = collections.Counter(before.children)
@@ -164,16 +165,18 @@
 
 
 def of_host(host: hosts.Host) -> HostState:
-    """The digests of a host's memory, tasks and timers."""
-    writer = _Serializer()
-    memory = writer.text(host.memory)
-    children = tuple(sorted(digest(writer.text(task)) for task in host.tasks if task not in host.main_tasks))
-    main = sorted(writer.text(task) for task in host.tasks if task in host.main_tasks)
+    """Return the digests of a host's memory, tasks and timers."""
+    serializer = _Serializer()
+    memory = serializer.text(host.memory)
+    children = tuple(
+        sorted(digest(serializer.text(task)) for task in host.tasks if task not in host.main_tasks)
+    )
+    main = sorted(serializer.text(task) for task in host.tasks if task in host.main_tasks)
     timers = sorted(f"{timer.due_at:.6f}" for timer in host.timers if not timer.handle.cancelled())
     core = f"{host.name} {host.up} {host.starts} {host.now:.6f} {timers} {main} {memory}"
     return HostState(digest(core), children)
 
 
 def of_objects(values: list[typing.Any]) -> bytes:
-    """The digest of any objects."""
+    """Return the digest of arbitrary objects."""
     return digest(_Serializer().text(values))
--- a/packages/explorer/src/dykeswitch/explorer/history.py
+++ b/packages/explorer/src/dykeswitch/explorer/history.py
@@ -1,7 +1,7 @@
-"""What clients asked and were told, and whether one order of all of it explains the answers.
+"""The history of client operations and a linearizability checker.
 
-The checker is Wing and Gong's: it looks for an order of the operations that respects the order
-of time and in which a single compare-and-set register gives every answer that was given.
+The checker uses Wing and Gong's algorithm: it searches for an order of the operations that
+respects real time and in which a single compare-and-set register gives all recorded answers.
 """
 
 import dataclasses
@@ -10,19 +10,19 @@
 
 
 class Kind(enum.Enum):
-    """What a client asks for."""
+    """The kind of a client's operation."""
 
     ORDER = "order"
     READ = "read"
 
 
 class Answer(enum.Enum):
-    """What a client was told."""
+    """The answer that a client got."""
 
     NONE = "no answer"
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"
-    # The register said that nothing was changed, or could not be read.
+    # The register reported that nothing was changed, or that it could not be read.
     FAILED = "failed"
     UNKNOWN = "unknown"
     READ = "read"
@@ -30,18 +30,18 @@
 
 @dataclasses.dataclass(slots=True)
 class Operation:
-    """One operation of one client."""
+    """An operation of a client."""
 
     client: str
     number: int
     kind: Kind
     key: str
-    # An order's id, the same where it is sent again, the body that it sets, and the version
-    # that it must find (any, where there is none).
+    # The id of an order (the same when it is sent again), the body that it sets and the version
+    # that it requires (None accepts any version).
     order: str = ""
     body: bytes = b""
     expected: int | None = None
-    # The operations that had been answered when this one was asked for.
+    # The operations that had been answered when this one was requested.
     predecessors: frozenset[str] = frozenset()
     answer: Answer = Answer.NONE
     version: int = 0
@@ -49,15 +49,15 @@
 
     @property
     def name(self) -> str:
-        """The operation's name, of its client and number."""
+        """The operation's name: its client and number."""
         return f"{self.client}/{self.number}"
 
     def is_indeterminate(self) -> bool:
-        """Whether the operation may never have taken effect, or take it after its answer."""
+        """Return whether the operation may have no effect, or take effect after its answer."""
         return self.answer in (Answer.NONE, Answer.UNKNOWN)
 
     def text(self) -> str:
-        """One line for a person."""
+        """Return a line for people to read."""
         request = f"read {self.key}" if self.kind is Kind.READ else f"order {self.order} on {self.key}"
         if self.expected is not None:
             request += f" if version {self.expected}"
@@ -70,16 +70,16 @@
 
 
 class History:
-    """All operations of one execution."""
+    """All operations of an execution."""
 
     def __init__(self) -> None:
         self.operations: dict[str, Operation] = {}
-        # How many calls and answers there were; tells the search which events are visible.
+        # The search compares these counts to detect events that clients can observe.
         self.request_count = 0
         self.answer_count = 0
 
     def record_request(self, operation: Operation) -> Operation:
-        """Note that a client asks now."""
+        """Record that a client sends a request now."""
         answered = (o.name for o in self.operations.values() if not o.is_indeterminate())
         operation.predecessors = frozenset(answered)
         self.operations[operation.name] = operation
@@ -89,45 +89,45 @@
     def record_answer(
         self, operation: Operation, answer: Answer, version: int = 0, body: bytes = b""
     ) -> None:
-        """Note that a client is told now."""
+        """Record that a client gets an answer now."""
         operation.answer = answer
         operation.version = version
         operation.read_body = body
         self.answer_count += 1
 
     def acknowledged(self) -> list[Operation]:
-        """The orders that were acknowledged."""
+        """Return the acknowledged orders."""
         return [o for o in self.operations.values() if o.answer is Answer.ACKNOWLEDGED]
 
     def next_number_for(self, client: str) -> int:
-        """The next number of a client's operations."""
+        """Return the number for the next operation of a client."""
         return sum(1 for operation in self.operations.values() if operation.client == client) + 1
 
     def text(self) -> str:
-        """All of it in one canonical text."""
+        """Return the whole history as canonical text."""
         return ";".join(
             f"{o.text()} after {sorted(o.predecessors)}" for _, o in sorted(self.operations.items())
         )
 
 
 class SequentialRegister(typing.NamedTuple):
-    """The sequential register that the history is held against."""
+    """The sequential register against which the history is checked."""
 
     version: int
     body: bytes
-    # The version that each order made.
-    versions: frozenset[tuple[str, int]]
+    # Pairs of an order and the version that it created.
+    order_versions: frozenset[tuple[str, int]]
 
 
 EMPTY_REGISTER: typing.Final = SequentialRegister(0, b"", frozenset())
 
 
 def apply(register: SequentialRegister, operation: Operation) -> SequentialRegister | None:
-    """The register after an operation; nothing where its answer would have been another."""
+    """Return the register after an operation; None if the register gives a different answer."""
     if operation.kind is Kind.READ:
         seen = (operation.version, operation.read_body)
         return register if operation.is_indeterminate() or seen == (register.version, register.body) else None
-    made_version = dict(register.versions).get(operation.order)
+    made_version = dict(register.order_versions).get(operation.order)
     if made_version is not None:
         if operation.answer is Answer.REFUSED:
             return None
@@ -140,11 +140,11 @@
         return None
     if operation.answer is Answer.ACKNOWLEDGED and operation.version != version:
         return None
-    return SequentialRegister(version, operation.body, register.versions | {(operation.order, version)})
+    return SequentialRegister(version, operation.body, register.order_versions | {(operation.order, version)})
 
 
 def linearizable(history: History) -> bool:
-    """Whether every key's operations have an order that explains their answers."""
+    """Return whether the operations on each key have an order that explains their answers."""
     keys = {operation.key for operation in history.operations.values()}
     return all(
         _is_key_linearizable([o for o in history.operations.values() if o.key == key]) for key in sorted(keys)
@@ -152,7 +152,7 @@
 
 
 def _is_key_linearizable(operations: list[Operation]) -> bool:
-    # What failed has no effect and saw nothing: it has no place in the order.
+    # Failed operations have no effect and observe nothing, so they are not part of the order.
     by_name = {o.name: o for o in operations if o.answer is not Answer.FAILED}
     visited: set[tuple[frozenset[str], SequentialRegister]] = set()
 
@@ -164,7 +164,7 @@
         visited.add((remaining, register))
         for name in sorted(remaining):
             operation = by_name[name]
-            # One that was answered before this one was asked for must come first.
+            # Operations that were answered before this one was requested must precede it.
             if operation.predecessors & remaining:
                 continue
             successor = apply(register, operation)
--- a/packages/explorer/src/dykeswitch/explorer/invariants.py
+++ b/packages/explorer/src/dykeswitch/explorer/invariants.py
@@ -1,4 +1,4 @@
-"""The invariants that hold in every state, by name and number (docs/explore.md)."""
+"""Checks of the numbered invariants, which hold in every state (see docs/explore.md)."""
 
 import typing
 
@@ -11,30 +11,33 @@
 
 
 class Commitment(typing.NamedTuple):
-    """The least that a disk must hold of a key, by what it has answered."""
+    """The lowest ballots that a disk may store for a key, given its answers so far."""
 
     promised: register.Ballot = register.ZERO_BALLOT
     ballot: register.Ballot = register.ZERO_BALLOT
 
 
 def record_commitment(store: "nodes.Store", kind: str, body: frames.Body) -> str:
-    """Note what a store has just bound itself to; says what is wrong with it, if anything."""
+    """Record the commitment that a store made with an answer.
+
+    Returns a violation if the answer breaks an earlier promise, an empty text otherwise.
+    """
     if kind not in ("prepare", "accept"):
         return ""
     disk = str(body["disk"])
     key = str(body["key"])
     ballot = register.decode_ballot(body["ballot"])
     commitment = store.commitments.get((disk, key), Commitment())
-    # I6: a promise keeps lower ballots out.
+    # I6: a promise excludes lower ballots.
     if ballot < commitment.promised:
-        return f"I6 {store.host.name} took {kind} {key} {ballot} after promising {commitment.promised}"
+        return f"I6 {store.host.name} answered {kind} {key} {ballot} after promising {commitment.promised}"
     accepted = ballot if kind == "accept" else commitment.ballot
     store.commitments[disk, key] = Commitment(ballot, accepted)
     return ""
 
 
 def check_hosts(world: "worlds.World", host_names: typing.Collection[str]) -> str:
-    """Which of the invariants that a host keeps by itself is broken, if any."""
+    """Check the invariants of single hosts; returns the first violation, or an empty text."""
     for name in sorted(host_names):
         if name in world.stores:
             violation = _check_store(world.stores[name])
@@ -46,21 +49,21 @@
 
 
 def check_all_hosts(world: "worlds.World") -> str:
-    """Which of the invariants that all hosts keep together is broken, if any."""
+    """Check the invariants across all hosts; returns the first violation, or an empty text."""
     return _check_durability(world) or _check_unique_member_sets(world) or _check_order_effects(world)
 
 
 def _check_store(store: "nodes.Store") -> str:
     records = store.view.keys
     disk = store.view.disk
-    # I7: what a store answered for is on its disk.
+    # I7: a store's disk has everything that the store committed to in its answers.
     for (committed_disk, key), commitment in store.commitments.items():
         record = records.get(key)
         if committed_disk != disk:
             continue
         if record is None or record.promised < commitment.promised or record.ballot < commitment.ballot:
-            return f"I7 {store.host.name} answered for {key} at {commitment} and holds {record}"
-    # I3: epochs rise.
+            return f"I7 {store.host.name} answered for {key} with {commitment}, but its disk has {record}"
+    # I3: epochs never decrease.
     epoch = store.view.members.epoch
     previous_epoch = store.highest_epochs.get(disk, 0)
     if epoch < previous_epoch:
@@ -72,11 +75,11 @@
 def _check_registry(registry: "nodes.Registry") -> str:
     if registry.proposer is not None:
         epoch = registry.proposer.members.epoch
-        # I3: epochs rise.
+        # I3: epochs never decrease.
         if epoch < registry.highest_epoch:
             return f"I3 {registry.host.name} went from epoch {registry.highest_epoch} back to {epoch}"
         registry.highest_epoch = epoch
-    # I4: a reader never goes back.
+    # I4: the version of a document never decreases on a reader.
     for name, version in registry.document_versions().items():
         if version < registry.highest_versions.get(name, 0):
             return f"I4 {registry.host.name} went back to version {version} of {name}"
@@ -85,16 +88,16 @@
 
 
 def _member_sets_in_use(world: "worlds.World") -> set[register.MemberSet]:
-    """Every member set that somebody goes by."""
-    violation = {store.view.members for store in world.stores.values()}
+    """Return every member set that a store or a running registry uses."""
+    member_sets = {store.view.members for store in world.stores.values()}
     for registry in world.registries.values():
         if registry.proposer is not None and registry.host.up:
-            violation.add(registry.proposer.members)
-    return {members for members in violation if members.groups}
+            member_sets.add(registry.proposer.members)
+    return {members for members in member_sets if members.groups}
 
 
 def _check_unique_member_sets(world: "worlds.World") -> str:
-    """I3: one member set an epoch."""
+    """Check I3: there is one member set per epoch."""
     by_epoch: dict[int, register.MemberSet] = {}
     for members in sorted(_member_sets_in_use(world), key=repr):
         if by_epoch.setdefault(members.epoch, members) != members:
@@ -103,7 +106,7 @@
 
 
 def _check_durability(world: "worlds.World") -> str:
-    """I2: no majority of a member set in force lacks an acknowledged change."""
+    """Check I2: no majority of a member set in use lacks an acknowledged change."""
     acknowledged = world.history.acknowledged()
     if not acknowledged:
         return ""
@@ -121,12 +124,15 @@
 
 
 def _is_majority(members: register.MemberSet, disks: set[str]) -> bool:
-    """Whether some disks are a majority of each group; on purpose not the register's own word."""
+    """Return whether some disks are a majority of each group.
+
+    Deliberately independent of the register's own function, which is under test.
+    """
     return all(2 * sum(disk in disks for disk, _ in group) > len(group) for group in members.groups)
 
 
 def _serves(store: "nodes.Store", members: register.MemberSet) -> bool:
-    """Whether a disk would answer calls under a member set."""
+    """Return whether a store's disk would answer calls under a member set."""
     installed = store.view.members
     return installed.epoch <= members.epoch and store.view.disk in installed.disks()
 
@@ -140,7 +146,7 @@
 
 
 def _check_order_effects(world: "worlds.World") -> str:
-    """I5: an order has one answer and at most one effect."""
+    """Check I5: an order has one answer and at most one effect."""
     for store in world.stores.values():
         for key, record in store.view.keys.items():
             orders = [order for order, _ in record.value.ops]
--- a/packages/explorer/src/dykeswitch/explorer/loop.py
+++ b/packages/explorer/src/dykeswitch/explorer/loop.py
@@ -1,4 +1,4 @@
-"""An event loop that runs callbacks until all wait, and leaves every timer to its driver."""
+"""An event loop that runs callbacks until all tasks wait, and fires timers only on request."""
 
 import asyncio
 import collections
@@ -12,29 +12,29 @@
 
 
 class CooperativeLoop(asyncio.AbstractEventLoop):
-    """Runs what is ready in order; a timer fires only when its host is told to."""
+    """Runs ready callbacks in order; a timer fires only when the driver calls `fire`."""
 
     def __init__(self) -> None:
         self._ready: collections.deque[asyncio.Handle] = collections.deque()
         self._sequence = itertools.count()
         self._closed = False
-        # Exceptions that no task handled; the driver reports them as violations.
+        # Unhandled exceptions; the driver reports them as violations.
         self.failures: list[str] = []
 
     def get_debug(self) -> bool:
-        """Never in debug mode."""
+        """Return False: debug mode is not supported."""
         return False
 
     def is_running(self) -> bool:
-        """Whether callbacks may run: always."""
+        """Return True: callbacks may always run."""
         return True
 
     def is_closed(self) -> bool:
-        """Whether the loop was closed."""
+        """Return whether the loop has been closed."""
         return self._closed
 
     def time(self) -> float:
-        """The time of the host whose code runs."""
+        """Return the time of the host whose code is running."""
         host = hosts.CURRENT_HOST.get()
         return host.now if host is not None else 0.0
 
@@ -44,7 +44,7 @@
         *args: typing.Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
-        """Run a callback with the next ones."""
+        """Add a callback to the ready queue."""
         context = contextvars.copy_context() if context is None else context
         handle = asyncio.Handle(callback, args, self, context)
         if not self._closed:
@@ -58,7 +58,7 @@
         *args: typing.Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Set a timer of the running host."""
+        """Set a timer of the host whose code is running."""
         return self.call_at(self.time() + delay, callback, *args, context=context)
 
     def call_at(  # type: ignore[override]
@@ -68,7 +68,7 @@
         *args: typing.Any,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Set a timer of the running host."""
+        """Set a timer of the host whose code is running."""
         context = contextvars.copy_context() if context is None else context
         handle = asyncio.TimerHandle(when, callback, args, self, context)
         host = context.get(hosts.CURRENT_HOST)
@@ -77,11 +77,11 @@
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        # A cancelled timer is dropped when its host next looks for the earliest.
+        # The host drops cancelled timers when it next looks for its earliest one.
         return None
 
     def create_future(self) -> asyncio.Future[typing.Any]:
-        """A future of this loop."""
+        """Create a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(  # type: ignore[override]
@@ -91,9 +91,9 @@
         name: str | None = None,
         context: contextvars.Context | None = None,
     ) -> asyncio.Task[typing.Any]:
-        """Run a coroutine on the host that creates it."""
+        """Run a coroutine on the host of the given or the current context."""
         task: asyncio.Task[typing.Any] = asyncio.Task(coro, loop=self, name=name, context=context)
-        # A crash leaves tasks pending on purpose.
+        # Crashes leave pending tasks by design, so asyncio must not warn about them.
         task._log_destroy_pending = False  # type: ignore[attr-defined]
         host = hosts.CURRENT_HOST.get() if context is None else context.get(hosts.CURRENT_HOST)
         if host is not None:
@@ -102,18 +102,18 @@
         return task
 
     def call_exception_handler(self, context: dict[str, typing.Any]) -> None:
-        """Note an exception that nobody handled."""
+        """Record an unhandled exception."""
         if self._closed:
             return
         error = context.get("exception")
         self.failures.append(f"{context.get('message')}: {type(error).__name__}: {error}")
 
     def fire(self, timer: hosts.Timer) -> None:
-        """Make a timer's callback ready."""
+        """Add a timer's callback to the ready queue."""
         self._ready.append(timer.handle)
 
     def run_until_idle(self) -> None:
-        """Run callbacks, in order, until every task waits for an outside event."""
+        """Run callbacks in order until every task waits for an external event."""
         asyncio._set_running_loop(self)
         try:
             while self._ready:
@@ -124,15 +124,16 @@
             asyncio._set_running_loop(None)
 
     def close(self) -> None:
-        """Refuse further callbacks; what unwinds afterwards changes nothing."""
+        """Refuse further callbacks, so that unwinding coroutines have no effect."""
         self._closed = True
         self._ready.clear()
 
 
 def unwind(task: asyncio.Task[typing.Any]) -> None:
-    """End a task's coroutine without its loop."""
+    """Close a task's coroutine without running its loop."""
     try:
         task.get_coro().close()
     except (RuntimeError, ValueError):
-        # It waits on in a `finally`, or is being unwound by another: it has no effect any more.
+        # The coroutine awaits in a `finally` block or is already being closed. It cannot have any
+        # further effect.
         return
--- a/packages/explorer/src/dykeswitch/explorer/nodes.py
+++ b/packages/explorer/src/dykeswitch/explorer/nodes.py
@@ -1,4 +1,4 @@
-"""What a world is made of: its settings, stores and registries."""
+"""The parts of a world: its settings, stores and registries."""
 
 import dataclasses
 import random
@@ -27,21 +27,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """What an execution allows."""
+    """The faults and timing that an execution allows."""
 
     budget: events.Budget
-    # How long each sleep lasts at least, by the calls' timeout: bounds the tries of a change.
+    # The minimum duration of each sleep, relative to the call timeout; limits the attempts to make
+    # a change.
     min_sleep_s: float = 4 * CALL_TIMEOUT_S
-    # How much of its host's time passes with each answer: bounds them further.
+    # The time that passes on the calling host with each finished call; limits attempts further.
     time_per_reply_s: float = 0.0
-    # Whether each reply reaches its caller at once. Requests still come late and in any order.
+    # Whether replies reach their callers at once. Requests may still be late and reordered.
     immediate_replies: bool = False
-    # Stores that the scope treats alike: of those that nothing happened to, the first comes first.
+    # Stores with the same role in the scope: of those that no event has involved yet, the search
+    # only considers the first.
     interchangeable: tuple[str, ...] = ()
-    # Whether a store's disk work is an event of its own, and whether its files are real.
+    # Whether each disk operation is a separate event, and whether stores use real files.
     stepwise_disks: bool = False
     real_files: bool = False
-    # Hosts that may crash, stores that may be wiped, pairs of hosts that may be cut apart.
+    # Hosts that may crash, stores that may lose power or their disk, and pairs of a source and a
+    # target host between which messages may be blocked.
     may_crash: frozenset[str] = frozenset()
     may_lose_power: frozenset[str] = frozenset()
     may_wipe: frozenset[str] = frozenset()
@@ -50,23 +53,23 @@
 
 @fingerprint.exclude_from_fingerprint
 class Store:
-    """A host with a disk that votes."""
+    """A host with a disk and a voter."""
 
     def __init__(self, host: hosts.Host, disk: disks.MemoryDisk) -> None:
         self.host = host
         self.disk = disk
         self.voter: voters.Voter | None = None
-        # What the voter has answered for, by disk and key: it may never hold less.
+        # The commitments of the voter by disk and key; the disk may never store less.
         self.commitments: dict[tuple[str, str], invariants.Commitment] = {}
-        # The highest epoch held under each disk id: who is emptied draws another.
+        # The highest epoch seen under each disk id; a wiped disk gets a new id.
         self.highest_epochs: dict[str, int] = {}
-        # What the disk holds, read anew after each event of this host.
+        # The decoded content of the disk, updated after each event of this host.
         self.view = records.view(disk.records)
 
 
 @fingerprint.exclude_from_fingerprint
 class Registry:
-    """A host with a proposer, and whatever its scope runs on it."""
+    """A host with a proposer and the program that its scope runs on it."""
 
     def __init__(self, world: "worlds.World", host: hosts.Host, start: Start) -> None:
         self.world = world
@@ -74,28 +77,28 @@
         self.start = start
         self.proposer: proposers.Proposer | None = None
         self.highest_epoch = 0
-        # Documents held, by name, where the host holds any; and the highest versions seen.
+        # Returns the versions of the stored documents by name; empty if the host stores none.
         self.document_versions: typing.Callable[[], dict[str, int]] = dict
         self.highest_versions: dict[str, int] = {}
 
     def call_client(self) -> calls.ModelCallClient:
-        """A caller for this host's calls."""
+        """Return a client for this host's calls."""
         return calls.ModelCallClient(self.host, self.world.send)
 
     def clock(self) -> hosts.HostClock:
-        """This host's clock."""
+        """Return this host's clock."""
         return hosts.HostClock(self.host, self.world.settings.min_sleep_s)
 
     def machine(self) -> ports.Machine:
-        """This host's ports."""
+        """Return this host's ports."""
         return ports.Machine(self.clock(), hosts.NoNetwork(), hosts.NoWeb(), ports.NoFaultPoints())
 
     def serve(self, handlers: typing.Mapping[str, frames.Handler]) -> None:
-        """Answer these calls."""
+        """Serve calls with these handlers."""
         self.world.handlers[self.host.name] = handlers
 
     def make_proposer(self, members: register.MemberSet) -> proposers.Proposer:
-        """A proposer under a name that no earlier start of this host used."""
+        """Create a proposer with a name that no earlier start of this host used."""
         self.proposer = proposers.Proposer(
             f"{self.host.name}#{self.host.starts}",
             self.call_client(),
@@ -111,7 +114,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PowerLoss:
-    """A store whose power went, the changes yet to be decided on, and those that are kept."""
+    """A store that lost power, the unsynced changes still to be decided, and those that are kept."""
 
     store: Store
     undecided: list[disks.UnsyncedChange]
--- a/packages/explorer/src/dykeswitch/explorer/randomised.py
+++ b/packages/explorer/src/dykeswitch/explorer/randomised.py
@@ -1,4 +1,4 @@
-"""Draws schedules of a wide scope, each by its own seed."""
+"""Random search over the schedules of a wide scope."""
 
 import random
 import time
@@ -9,11 +9,11 @@
 
 
 class Randomised:
-    """Random schedules by priorities (probabilistic concurrency testing), each by its own seed.
+    """Random schedules by probabilistic concurrency testing (PCT), each with its own seed.
 
-    Each channel between two hosts has a random priority, and of what may happen the event with
-    the highest is taken. At a few random steps the channel just used falls to the lowest, and at
-    a few others a random fault is taken.
+    Each channel between two hosts has a random priority, and the enabled event with the highest
+    priority is performed. At a few random steps the channel of the chosen event drops to the
+    lowest priority, and at a few others a random fault is performed.
     """
 
     PRIORITY_CHANGES: typing.Final = 4
@@ -22,12 +22,13 @@
         self._plan = plan
         self._seed = seed
         self._progress = progress
-        # How long executions are, as measured: random steps are drawn from it.
+        # The steps for priority changes and faults are sampled from this range: an initial estimate
+        # or, if that is longer, the longest execution so far.
         self._max_length = 40
         self.figures = executions.Figures()
 
     def run(self, schedules: int, seconds: float) -> executions.Figures:
-        """Execute so many schedules, or until something breaks or time is up."""
+        """Execute schedules until all are done, a violation is found or the time is up."""
         started_at, cpu_started_at = time.monotonic(), time.process_time()
         for number in range(schedules):
             self._execute(random.Random(f"{self._seed}/{number}"))
@@ -40,8 +41,8 @@
         return self.figures
 
     def _execute(self, rng: random.Random) -> None:
-        faults = sum(self._plan.settings.budget.values())
-        fault_steps = {rng.randrange(self._max_length) for _ in range(faults)}
+        fault_count = sum(self._plan.settings.budget.values())
+        fault_steps = {rng.randrange(self._max_length) for _ in range(fault_count)}
         change_steps = {rng.randrange(self._max_length) for _ in range(self.PRIORITY_CHANGES)}
         priorities: dict[str, float] = {}
         execution = executions.Execution(self._plan)
@@ -66,7 +67,11 @@
 
 
 def _channel(event: events.Event) -> str:
-    """The thread of control that an event belongs to: requests and replies between two hosts, a timer."""
+    """Return the channel of an event.
+
+    Requests from one host to another form a channel, as do their replies; any other event is
+    its own channel.
+    """
     if event.kind in (events.Kind.DELIVER, events.Kind.ANSWER):
         kind, pair, _ = event.key.split(" ", 2)
         return f"{kind} {pair}"
@@ -74,11 +79,11 @@
 
 
 def _choose_event(
-    enabled: list[events.Event], rng: random.Random, priorities: dict[str, float], fault: bool
+    enabled: list[events.Event], rng: random.Random, priorities: dict[str, float], fault_due: bool
 ) -> events.Event | None:
-    """A random fault where one is due, else the event of the highest priority."""
+    """Choose a random fault if one is due, otherwise the event with the highest priority."""
     faults = [event for event in enabled if event.uses_budget]
-    if fault and faults:
+    if fault_due and faults:
         kind = rng.choice(sorted({event.kind.value for event in faults}))
         return rng.choice([event for event in faults if event.kind.value == kind])
     fault_free = [event for event in enabled if not event.uses_budget]
--- a/packages/explorer/src/dykeswitch/explorer/records.py
+++ b/packages/explorer/src/dykeswitch/explorer/records.py
@@ -1,9 +1,9 @@
-"""What a store's disk holds, as the real `Storage` writes it or as an atomic stand-in does.
+"""The records on a store's disk, written by the real `Storage` or by an atomic substitute.
 
-`ObservedStorage` is the real class over real files; it only notes what was written.
-`AtomicStorage` has the contract that the `power` scope checks of the real one (a put is there
-whole or not at all, and lasts once it has returned) without its files, which cost half a
-millisecond a put. Scopes that lose no power amid a write use it.
+`ObservedStorage` is the real class with real files; it only records what was written.
+`AtomicStorage` fulfils the contract that the `power` scope checks for the real class: a put is
+all or nothing, and durable once it has returned. It uses no files, which take half a millisecond
+per put. Scopes without power loss during writes use it.
 """
 
 import contextlib
@@ -21,7 +21,7 @@
 
 
 class Record(typing.NamedTuple):
-    """One key's record on a disk."""
+    """The record of a key on a disk."""
 
     promised: register.Ballot
     ballot: register.Ballot
@@ -29,7 +29,7 @@
 
 
 class ObservedStorage(storage.Storage):
-    """The real storage; each record that it made last is noted on the disk."""
+    """The real storage, which also copies each durable record to `FileDisk.records`."""
 
     def __init__(self, disk: ports.Disk, fault_points: ports.FaultPoints) -> None:
         super().__init__(disk, fault_points)
@@ -37,51 +37,51 @@
         self._observed = disk
 
     def open(self) -> dict[str, typing.Any]:
-        """Every record on the disk."""
+        """Return every record on the disk."""
         records = super().open()
         self._observed.records = {key: cbor2.dumps(record) for key, record in records.items()}
         return records
 
     def put(self, key: str, record: typing.Any) -> None:
-        """Make one record last."""
+        """Write a record durably."""
         super().put(key, record)
         self._observed.records[key] = cbor2.dumps(record)
 
     def erase(self) -> None:
-        """Drop every record."""
+        """Delete every record."""
         super().erase()
         self._observed.records.clear()
 
 
 @fingerprint.exclude_from_fingerprint
 class AtomicStorage:
-    """Records in memory, each put whole."""
+    """Records in memory, each written atomically."""
 
     def __init__(self, disk: ports.Disk, fault_points: ports.FaultPoints) -> None:
         assert isinstance(disk, disks.MemoryDisk)
         self._disk = disk
 
     def open(self) -> dict[str, typing.Any]:
-        """Every record on the disk."""
+        """Return every record on the disk."""
         return {key: cbor2.loads(data) for key, data in self._disk.records.items()}
 
     def put(self, key: str, record: typing.Any) -> None:
-        """Make one record last."""
+        """Write a record durably."""
         self._disk.records[key] = cbor2.dumps(record)
 
     def voted_before(self) -> bool:
-        """Whether a replica with a vote was once erased from this disk."""
+        """Return whether a replica with a vote was once erased from this disk."""
         return self._disk.voted_before
 
     def erase(self) -> None:
-        """Drop every record, and remember that there were some."""
+        """Delete every record, and remember that records were erased."""
         self._disk.voted_before = True
         self._disk.records.clear()
 
 
 @contextlib.contextmanager
 def use_storage_class(storage_type: type) -> typing.Iterator[None]:
-    """Let voters made meanwhile keep their records by the given class."""
+    """Use the given storage class for voters that are created within the context."""
     original = storage.Storage
     storage.Storage = storage_type  # type: ignore[misc, assignment]
     try:
@@ -91,7 +91,7 @@
 
 
 class View(typing.NamedTuple):
-    """A disk's records, read."""
+    """The decoded records of a disk."""
 
     disk: str
     members: register.MemberSet
@@ -99,7 +99,7 @@
 
 
 def view(raw: dict[str, bytes]) -> View:
-    """What a disk holds."""
+    """Decode the records of a disk."""
     disk, members, keys = "", register.EMPTY_MEMBER_SET, {}
     for key, data in raw.items():
         if key == messages.DISK_KEY:
--- a/packages/explorer/src/dykeswitch/explorer/replay.py
+++ b/packages/explorer/src/dykeswitch/explorer/replay.py
@@ -1,4 +1,4 @@
-"""Executes a trace again, and makes one shorter."""
+"""Replays and shrinks traces."""
 
 import typing
 
@@ -8,7 +8,10 @@
 def replay(
     plan: executions.Plan, trace: typing.Sequence[str], run_to_completion: bool = True
 ) -> executions.Violation | None:
-    """Execute a trace; what can't happen is passed over, and the usual follows to the end."""
+    """Execute a trace, and then fault-free events until none is left.
+
+    Events of the trace that cannot happen are skipped.
+    """
     execution = executions.Execution(plan)
     try:
         for key in trace:
@@ -16,17 +19,20 @@
             if event is not None:
                 execution.perform(event)
         while run_to_completion and len(execution.trace) < plan.max_events:
-            event = next((event for event in execution.enabled() if not event.uses_budget), None)
-            if event is None:
+            next_event = next((event for event in execution.enabled() if not event.uses_budget), None)
+            if next_event is None:
                 break
-            execution.perform(event)
+            execution.perform(next_event)
         return execution.violation()
     finally:
         execution.close()
 
 
 def shrink(plan: executions.Plan, violation: executions.Violation) -> executions.Violation:
-    """The shortest trace found, by leaving out ever smaller parts, that breaks the same invariant."""
+    """Shrink a trace by removing ever smaller parts of it.
+
+    Returns the shortest trace found that violates the same invariant.
+    """
     shortest = violation
     invariant = violation.message.split()[0]
     part_size = max(1, len(shortest.trace) // 2)
--- a/packages/explorer/src/dykeswitch/explorer/scopes.py
+++ b/packages/explorer/src/dykeswitch/explorer/scopes.py
@@ -1,4 +1,4 @@
-"""The scopes: who takes part, what they do, and which faults they may meet."""
+"""The scopes: their hosts, what these do, and which faults may happen."""
 
 import dataclasses
 import typing
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scope:
-    """A small world by name, with a plan to search whole and a wider one for random schedules."""
+    """A named scope: a small plan for exhaustive search and a wide one for random schedules."""
 
     name: str
     description: str
@@ -104,7 +104,7 @@
         ),
         Scope(
             "swap",
-            "a store that a registry can't reach is replaced while another goes by the old member set",
+            "a store that a registry can't reach is replaced while another uses the old member set",
             _plan(
                 builds.swap(rounds=4, both_reconcile=False),
                 immediate_replies=True,
@@ -122,7 +122,7 @@
         ),
         Scope(
             "reseat",
-            "two registries at once seat a store that came back with an empty disk, and change a key",
+            "two registries give a store that restarted with an empty disk its vote back, and change a key",
             _plan(
                 builds.reseat(rounds=4, both_reconcile=False),
                 immediate_replies=True,
@@ -141,7 +141,7 @@
         ),
         Scope(
             "resend",
-            "an order is sent again at another registry after a lost answer",
+            "an order is sent again to another registry after its answer was lost",
             _plan(
                 builds.resend(competing_order=False),
                 budget={_Kind.GIVE_UP: 1},
@@ -159,7 +159,7 @@
         ),
         Scope(
             "restart",
-            "members restart with what their disks hold, at any moment",
+            "members restart at any moment with the content of their disks",
             _plan(
                 builds.race(read_count=0, second_order=False),
                 budget={_Kind.CRASH: 1},
--- a/packages/explorer/src/dykeswitch/explorer/world.py
+++ b/packages/explorer/src/dykeswitch/explorer/world.py
@@ -1,4 +1,4 @@
-"""The world of one execution: hosts, calls on their way, disks, and what may happen next."""
+"""The world of one execution: its hosts, disks, calls in progress and faults."""
 
 import asyncio
 import contextvars
@@ -30,7 +30,7 @@
 
 
 class World:
-    """Everything in one execution."""
+    """The whole state of one execution."""
 
     def __init__(
         self,
@@ -39,13 +39,13 @@
         host_states: dict[bytes, fingerprint.HostState] | None = None,
     ) -> None:
         self.settings = settings
-        # States of hosts by what happened at them: a host's own events decide its state, so
-        # executions of one scope share them.
+        # Cache of host states by the digest of the host's events. The events of a host determine
+        # its state, so all executions of a scope share the cache.
         self._host_states = {} if host_states is None else host_states
         self._event_digests: dict[str, bytes] = {}
-        # Hosts that something happened to since the scope was set up.
-        self.touched: set[str] = set()
-        # At run time the base class is no abstract one.
+        # Hosts involved in an event since the scope was set up.
+        self.touched_hosts: set[str] = set()
+        # The type stubs declare the base class abstract; at run time it is not.
         self.loop = loops.CooperativeLoop()  # type: ignore[abstract]
         self.hosts: dict[str, hosts.Host] = {}
         self.stores: dict[str, nodes.Store] = {}
@@ -57,24 +57,24 @@
         self.violation = ""
         self.used_budget: dict[events.Kind, int] = {}
         self.cuts: set[tuple[str, str]] = set()
-        # Cuts that are part of the scope and never heal.
+        # Cuts that are part of the scope and are never healed.
         self.permanent_cuts: set[tuple[str, str]] = set()
-        # A machine that lost power, while it is not settled what its disk keeps.
-        self.pending_power_loss: nodes.PowerLoss | None = None
-        self._scratch_folder = scratch_folder
-        self._folder_numbers = itertools.count(1)
+        # A power loss while its surviving disk content is still being decided.
+        self.power_loss: nodes.PowerLoss | None = None
+        self._scratch = scratch_folder
+        self._disk_numbers = itertools.count(1)
 
-    # Building.
+    # Set-up.
 
     def add_store(self, name: str) -> nodes.Store:
-        """A store with a blank disk, started."""
+        """Add and start a store with an empty disk."""
         host = self.hosts[name] = hosts.Host(name)
         store = self.stores[name] = nodes.Store(host, self._blank_disk())
         self._start_store(store)
         return store
 
     def add_registry(self, name: str, start: nodes.Start) -> nodes.Registry:
-        """A registry that runs a coroutine from each start on."""
+        """Add a registry that runs the given program at each start."""
         host = self.hosts[name] = hosts.Host(name)
         registry = self.registries[name] = nodes.Registry(self, host, start)
         self._start_registry(registry)
@@ -83,12 +83,10 @@
     def _blank_disk(self) -> disks.MemoryDisk:
         if not self.settings.real_files:
             return disks.MemoryDisk(self.settings.stepwise_disks)
-        return disks.FileDisk(
-            self._scratch_folder / f"disk{next(self._folder_numbers)}", self.settings.stepwise_disks
-        )
+        return disks.FileDisk(self._scratch / f"disk{next(self._disk_numbers)}", self.settings.stepwise_disks)
 
     def spawn(self, host: hosts.Host, work: typing.Coroutine[typing.Any, typing.Any, object]) -> None:
-        """Run a coroutine on a host."""
+        """Run a coroutine as a main task of a host."""
         context = contextvars.Context()
         hosts.enter(context, host)
         host.main_tasks.add(self.loop.create_task(work, context=context))
@@ -105,7 +103,7 @@
             try:
                 await voter.open()
             except storage.StorageDamageError as error:
-                self.record_violation(f"I8 {host.name} can't read its disk: {error}")
+                self.record_violation(f"I8 {host.name} cannot read its disk: {error}")
                 return
             self.handlers[host.name] = voter.kinds()
 
@@ -119,22 +117,22 @@
         self.spawn(registry.host, registry.start(registry))
 
     def address(self, name: str) -> ports.Address:
-        """The address that a host's calls are sent to."""
+        """Return the address of a host."""
         return ports.address_of(f"10.0.0.{list(self.hosts).index(name) + 1}:7000")
 
     def run_until_quiescent(self) -> None:
-        """Let all that needs no choice happen, as while a scope is set up."""
+        """Perform fault-free events until none is left; used while a scope is set up."""
         self.loop.run_until_idle()
         while event := next((e for e in choices.enabled(self) if not e.uses_budget), None):
             self.perform(event)
-        self.touched.clear()
+        self.touched_hosts.clear()
 
     # Calls.
 
     def send(
         self, source: hosts.Host, address: str, kind: str, body: frames.Body
     ) -> asyncio.Future[frames.Result]:
-        """Put a request on its way."""
+        """Send a request; the future gets its result."""
         target = self.hosts[list(self.hosts)[int(address.split(":")[0].split(".")[3]) - 1]]
         future: asyncio.Future[frames.Result] = self.loop.create_future()
         label = calls.describe(source.name, target.name, kind, body)
@@ -142,7 +140,7 @@
         return future
 
     def deliver_request(self, call: calls.Call) -> None:
-        """Run a request at its target."""
+        """Deliver a request to its target and run it there."""
         call.phase = calls.Phase.RUNNING
         self.spawn(call.target, self._run(call))
 
@@ -153,31 +151,31 @@
             self.record_violation(invariants.record_commitment(store, call.kind, cbor2.loads(call.body)))
 
     def deliver_reply(self, call: calls.Call) -> None:
-        """Hand a reply to its caller."""
+        """Deliver a reply to its caller."""
         self.calls.remove(call)
         assert call.reply is not None
         call.source.now += self.settings.time_per_reply_s
         call.resolve(call.reply)
 
     def lose(self, call: calls.Call) -> None:
-        """Let a request or reply come to nothing; its caller learns it."""
+        """Lose a request or reply; the caller gets an error."""
         self.calls.remove(call)
         call.source.now += self.settings.time_per_reply_s
         call.resolve(outcome.failure("no_reply", "lost"))
 
     def give_up(self, call: calls.Call) -> None:
-        """Let a caller wait no longer; the request may yet come."""
+        """Let a caller time out; the request may still be delivered."""
         call.source.now += self.settings.time_per_reply_s
         call.resolve(outcome.failure("no_reply", "late"))
 
     def duplicate(self, call: calls.Call) -> None:
-        """Deliver a request once more beside the first."""
+        """Add a duplicate of a request."""
         self.calls.append(dataclasses.replace(call, future=None, label=f"{call.label} again"))
 
     # Faults.
 
     def stop_host(self, host: hosts.Host) -> None:
-        """End a process; what it held in memory is gone."""
+        """End a process and discard its memory."""
         host.stop()
         self.handlers.pop(host.name, None)
         for call in self.calls:
@@ -188,41 +186,39 @@
         if host.name in self.stores:
             self.stores[host.name].disk.stop()
         for operation in self.history.operations.values():
-            # Whoever asked a host that ended is told nothing more.
+            # A client on an ended host gets no answer to its pending operations.
             if operation.client == host.name and operation.answer is histories.Answer.NONE:
                 self.history.record_answer(operation, histories.Answer.UNKNOWN)
 
     def lose_power(self, store: nodes.Store, step: int) -> None:
-        """Cut the power of a store within its disk's next piece of work."""
+        """Cut the power of a store at a step of its disk's next operation."""
         assert isinstance(store.disk, disks.FileDisk)
         undecided = store.disk.cut_power(step)
         self.stop_host(store.host)
-        self.pending_power_loss = nodes.PowerLoss(store, undecided, [])
+        self.power_loss = nodes.PowerLoss(store, undecided, [])
         self._advance_power_loss()
 
     def decide_change(self, keep: bool) -> None:
-        """Keep or lose the next of the unsynced changes."""
-        assert self.pending_power_loss is not None
-        change = self.pending_power_loss.undecided.pop(0)
+        """Keep or discard the next unsynced change."""
+        assert self.power_loss is not None
+        change = self.power_loss.undecided.pop(0)
         if keep:
-            self.pending_power_loss.kept.append(change)
+            self.power_loss.kept.append(change)
         self._advance_power_loss()
 
     def _advance_power_loss(self) -> None:
-        """Leave out what no longer matters; lose the power once nothing is left to decide."""
-        assert self.pending_power_loss is not None
-        disk = self.pending_power_loss.store.disk
+        """Drop changes that cannot be reached any more; finish when nothing is left to decide."""
+        assert self.power_loss is not None
+        disk = self.power_loss.store.disk
         assert isinstance(disk, disks.FileDisk)
-        reachable = disk.reachable(self.pending_power_loss.kept, self.pending_power_loss.undecided)
-        self.pending_power_loss.undecided = [
-            c for c in self.pending_power_loss.undecided if c.inode in reachable
-        ]
-        if not self.pending_power_loss.undecided:
-            disk.lose_power(self.pending_power_loss.kept)
-            self.pending_power_loss = None
+        reachable = disk.reachable(self.power_loss.kept, self.power_loss.undecided)
+        self.power_loss.undecided = [c for c in self.power_loss.undecided if c.inode in reachable]
+        if not self.power_loss.undecided:
+            disk.lose_power(self.power_loss.kept)
+            self.power_loss = None
 
     def restart(self, name: str) -> None:
-        """Start a host's process anew."""
+        """Start a host's process again."""
         if name in self.registries:
             self._start_registry(self.registries[name])
             return
@@ -232,7 +228,7 @@
         self._start_store(store)
 
     def wipe(self, name: str) -> None:
-        """Put an empty disk in the place of a store's, which is down."""
+        """Replace the disk of a stopped store by an empty one."""
         store = self.stores[name]
         store.disk = self._blank_disk()
         store.view = records.view(store.disk.records)
@@ -242,7 +238,7 @@
         self.stop_host(self.hosts[name])
 
     def fire_timer(self, host: hosts.Host) -> None:
-        """Let the host's earliest timer fire."""
+        """Fire the host's earliest timer."""
         timer = host.earliest_timer()
         assert timer is not None
         host.timers.remove(timer)
@@ -250,25 +246,25 @@
         self.loop.fire(timer)
 
     def cut(self, link: tuple[str, str]) -> None:
-        """Let nothing through from one host to another."""
+        """Block all messages from one host to another."""
         self.cuts.add(link)
 
     def cut_permanently(self, first: str, second: str) -> None:
-        """Cut two hosts apart, both ways, for the whole execution."""
+        """Block all messages between two hosts for the whole execution."""
         self.permanent_cuts |= {(first, second), (second, first)}
         self.cuts |= self.permanent_cuts
 
     def heal(self, link: tuple[str, str]) -> None:
-        """Let everything through again."""
+        """Unblock messages from one host to another."""
         self.cuts.discard(link)
 
     # Steps.
 
     def perform(self, event: events.Event, check_invariants: bool = True) -> None:
-        """Let an event happen, and all that follows without another choice."""
+        """Perform an event and everything that follows from it without another choice."""
         if event.uses_budget:
             self.used_budget[event.kind] = self.used_budget.get(event.kind, 0) + 1
-        self.touched |= event.hosts
+        self.touched_hosts |= event.hosts
         for name in event.hosts:
             self._extend_event_digest(name, f"{event.key} {event.detail()}")
         event.perform()
@@ -276,12 +272,12 @@
         if self.settings.immediate_replies:
             self._deliver_ready_replies()
         for failure in self.loop.failures:
-            self.record_violation(f"I10 unhandled: {failure}")
+            self.record_violation(f"I10 unhandled exception: {failure}")
         self.calls = [call for call in self.calls if self._is_relevant(call)]
         for name in event.hosts & self.stores.keys():
             self.stores[name].view = records.view(self.stores[name].disk.records)
         self.record_violation(invariants.check_hosts(self, event.hosts))
-        # On the way to a state that was judged before only the hosts' own floors are kept up.
+        # While a known path is repeated, only the per-host records of the invariants need updating.
         if check_invariants:
             self.record_violation(invariants.check_all_hosts(self))
 
@@ -290,7 +286,7 @@
         self._event_digests[name] = fingerprint.digest(f"{event_digest!r} {detail}")
 
     def _deliver_ready_replies(self) -> None:
-        """Hand over every reply that nothing holds back."""
+        """Deliver all replies that are not blocked by a cut."""
         while ready_call := next((call for call in self.calls if self._can_deliver_reply(call)), None):
             self._extend_event_digest(ready_call.source.name, ready_call.state())
             self.deliver_reply(ready_call)
@@ -301,61 +297,53 @@
         return call.phase is calls.Phase.REPLY and reply_link not in self.cuts
 
     def _is_relevant(self, call: calls.Call) -> bool:
-        # Nobody waits for it, and it has run or never will.
+        # No caller waits for the call, and it has run or can never run.
         finished = call.future is None and call.phase in (calls.Phase.REPLY, calls.Phase.BROKEN)
         undeliverable = call.future is None and call.phase is calls.Phase.REQUEST and not call.target.up
         return not finished and not undeliverable
 
     def record_violation(self, message: str) -> None:
-        """Note the first violation."""
+        """Record a violation, unless it is empty or an earlier one is recorded."""
         if message and not self.violation:
             self.violation = message
 
-    def record_reported(self, key: str, value: register.Value) -> None:
-        """Note a value that somebody was told."""
+    def record_reported_value(self, key: str, value: register.Value) -> None:
+        """Record a value that a client was given, and check that each version has one body."""
         reported = self.reported_values.setdefault((key, value.version), value.body)
         if reported != value.body:
-            self.record_violation(
-                f"I1 {key} version {value.version} was reported as {reported!r} and as {value.body!r}"
-            )
+            self.record_violation(f"I1 {key} version {value.version} is both {reported!r} and {value.body!r}")
 
     def digest(self) -> bytes:
-        """The digest of the whole state."""
+        """Return the digest of the whole state."""
         call_states = sorted(call.state() for call in self.calls)
         used_budget = sorted((kind.value, count) for kind, count in self.used_budget.items())
-        power_loss = self.pending_power_loss
-        undecided = (
-            None
-            if power_loss is None
-            else (power_loss.store.host.name, power_loss.undecided, power_loss.kept)
-        )
-        faults = f"{sorted(self.touched)} {used_budget} {sorted(self.cuts)} {undecided}"
+        loss = self.power_loss
+        undecided = None if loss is None else (loss.store.host.name, loss.undecided, loss.kept)
+        faults = f"{sorted(self.touched_hosts)} {used_budget} {sorted(self.cuts)} {undecided}"
         rest = f"{call_states} {faults} {self.history.text()} {sorted(self.reported_values.items())}"
         states = [self.host_state(name) for name in self.hosts]
         return fingerprint.digest(f"{states} {rest}")
 
     def host_state(self, name: str) -> fingerprint.HostState:
-        """The digests of a host's parts."""
+        """Return the digests of a host's state."""
         event_digest = name.encode() + self._event_digests.get(name, b"")
         if event_digest not in self._host_states:
             self._host_states[event_digest] = self._new_host_state(self.hosts[name])
         return self._host_states[event_digest]
 
     def _new_host_state(self, host: hosts.Host) -> fingerprint.HostState:
-        found = fingerprint.of_host(host)
+        state = fingerprint.of_host(host)
         store = self.stores.get(host.name)
         if store is None:
-            return found
-        # The work that waits holds the records that it will write.
-        pending_digest = fingerprint.of_objects([piece.run for piece in store.disk.pending])
+            return state
+        # Pending disk operations refer to the records that they will write.
+        pending = fingerprint.of_objects([piece.run for piece in store.disk.pending])
         commitments = sorted(store.commitments.items())
-        disk = (
-            f"{store.disk.content()} {pending_digest!r} {commitments} {sorted(store.highest_epochs.items())}"
-        )
-        return found._replace(core=fingerprint.digest(f"{found.core!r} {disk}"))
+        disk = f"{store.disk.content()} {pending!r} {commitments} {sorted(store.highest_epochs.items())}"
+        return state._replace(core=fingerprint.digest(f"{state.core!r} {disk}"))
 
     def close(self) -> None:
-        """End every coroutine, so that none is left to the garbage collector."""
+        """Close every coroutine, so that none is left to the garbage collector."""
         self.loop.close()
         for host in self.hosts.values():
             for task in list(host.tasks):
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""The model checker: small scopes are clean, and each guard that is taken away is missed."""
+"""Tests of the model checker: scopes have no violations, and each removed guard is detected."""
 
 import asyncio
 import contextvars
@@ -25,86 +25,86 @@
 import dykeswitch.register.proposer as proposers
 import dykeswitch.register.voter as voters
 
-# Bounds in executions and not in seconds: a slow machine must come to the same verdict.
+# Searches are limited by executions, not by time, so that slow machines get the same verdict.
 SECONDS: typing.Final = 600.0
 SEED: typing.Final = 3
 SCHEDULES: typing.Final = 300
 CLEAN_SCHEDULES: typing.Final = 12
 EXECUTIONS: typing.Final = 60
-# An exhaustive search comes late to what happens early: it is given more.
-SEARCHED: typing.Final = 2000
+# Depth-first search varies early events last, so it needs more executions.
+EXHAUSTIVE_EXECUTIONS: typing.Final = 2000
 
 
 def _no_ballot_comparison(patch: pytest.MonkeyPatch) -> None:
-    """A disk accepts below what it has promised."""
+    """Make a voter accept ballots below its promise."""
     real = voters.Voter._take_up
 
-    async def careless(self: voters.Voter, ask: messages.Accept) -> messages.Accepted:
-        self._key_states.setdefault(ask.key, voters.KeyState()).promised = register.ZERO_BALLOT
-        return await real(self, ask)
+    async def accept_any_ballot(self: voters.Voter, request: messages.Accept) -> messages.Accepted:
+        self._key_states.setdefault(request.key, voters.KeyState()).promised = register.ZERO_BALLOT
+        return await real(self, request)
 
-    patch.setattr(voters.Voter, "_take_up", careless)
+    patch.setattr(voters.Voter, "_take_up", accept_any_ballot)
 
 
 def _no_sync(patch: pytest.MonkeyPatch) -> None:
-    """A disk answers before what it wrote lasts."""
+    """Make a disk answer before its writes are durable."""
     patch.setattr(disks.FileDisk, "sync_file", lambda self, path: None)
     patch.setattr(disks.FileDisk, "sync_folder", lambda self, path: None)
 
 
 def _no_sync_of_names(patch: pytest.MonkeyPatch) -> None:
-    """A disk syncs its files and not the names of its folders."""
+    """Make a disk sync its files but not the names in its folders."""
     patch.setattr(disks.FileDisk, "sync_folder", lambda self, path: None)
 
 
 def _no_epoch_check(patch: pytest.MonkeyPatch) -> None:
-    """A disk answers calls that count by a member set that was left behind."""
+    """Make a voter answer calls that use an outdated member set."""
     real = voters.Voter._barred
 
-    def lenient(self: voters.Voter, key: str, disk: str, epoch: int) -> outcome.Failure | None:
+    def ignore_epoch(self: voters.Voter, key: str, disk: str, epoch: int) -> outcome.Failure | None:
         return real(self, key, disk, register.MAX_COUNT)
 
-    patch.setattr(voters.Voter, "_barred", lenient)
+    patch.setattr(voters.Voter, "_barred", ignore_epoch)
 
 
 def _no_joint_majorities(patch: pytest.MonkeyPatch) -> None:
-    """A joint member set needs the majority of one of its groups alone."""
+    """Let the majority of a single group decide for a joint member set."""
 
-    def one_group(groups: typing.Any, yes: typing.Collection[str]) -> bool:
+    def any_group_majority(groups: typing.Any, yes: typing.Collection[str]) -> bool:
         return any(register.majority(group, yes) for group in groups)
 
-    patch.setattr(register, "has_majorities", one_group)
+    patch.setattr(register, "has_majorities", any_group_majority)
 
 
 def _no_adoption(patch: pytest.MonkeyPatch) -> None:
-    """A proposer does not take up the highest value that was accepted."""
+    """Make a proposer ignore the highest accepted value."""
     real = proposers._highest
 
-    def forgetful(yes: dict[str, messages.Promise]) -> tuple[register.Ballot, register.Value]:
+    def ignore_accepted_value(yes: dict[str, messages.Promise]) -> tuple[register.Ballot, register.Value]:
         return real(yes)[0], register.INITIAL_VALUE
 
-    patch.setattr(proposers, "_highest", forgetful)
+    patch.setattr(proposers, "_highest", ignore_accepted_value)
 
 
 def _no_version_check(patch: pytest.MonkeyPatch) -> None:
-    """A document is taken up whatever version is held."""
+    """Make a host apply documents regardless of the version that it has."""
     real = documents.Documents.apply
 
-    async def eager(self: documents.Documents, name: str, version: int, data: bytes) -> bool:
-        held = self._held.pop(name, None)
-        taken = await real(self, name, version, data)
-        if held is not None and not taken:
-            self._held[name] = held
-        return taken
+    async def apply_any_version(self: documents.Documents, name: str, version: int, data: bytes) -> bool:
+        current = self._held.pop(name, None)
+        applied = await real(self, name, version, data)
+        if current is not None and not applied:
+            self._held[name] = current
+        return applied
 
-    patch.setattr(documents.Documents, "apply", eager)
+    patch.setattr(documents.Documents, "apply", apply_any_version)
 
 
 Removal = typing.Callable[[pytest.MonkeyPatch], None]
 
 
 class Case(typing.NamedTuple):
-    """A guard's removal, the scope that finds it and the invariants of which it breaks one."""
+    """The removal of a guard, the scope that detects it and the invariants that may be violated."""
 
     removal: Removal
     scope: str
@@ -122,7 +122,7 @@
 ]
 
 
-def _name(case: Case) -> str:
+def _case_id(case: Case) -> str:
     return case.removal.__name__.removeprefix("_")
 
 
@@ -130,7 +130,7 @@
     return randomised.Randomised(scopes.SCOPES[scope].wide, SEED).run(schedules, SECONDS)
 
 
-@pytest.mark.parametrize("case", CASES, ids=_name)
+@pytest.mark.parametrize("case", CASES, ids=_case_id)
 def test_a_guard_that_is_gone_is_found_by_random_schedules(
     case: Case, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -140,19 +140,19 @@
     assert figures.violation.message.split()[0] in case.invariants, figures.violation
 
 
-@pytest.mark.parametrize("case", CASES[:2], ids=_name)
+@pytest.mark.parametrize("case", CASES[:2], ids=_case_id)
 def test_a_guard_that_is_gone_is_found_by_the_exhaustive_search(
     case: Case, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     case.removal(monkeypatch)
-    figures = exhaustive.Exhaustive(scopes.SCOPES[case.scope].small, SECONDS).run(SEARCHED)
+    figures = exhaustive.Exhaustive(scopes.SCOPES[case.scope].small, SECONDS).run(EXHAUSTIVE_EXECUTIONS)
     assert figures.violation is not None, figures
     assert figures.violation.message.split()[0] in case.invariants, figures.violation
 
 
 @pytest.mark.parametrize("scope", list(scopes.SCOPES))
 def test_the_first_orders_of_a_small_scope_are_clean(scope: str) -> None:
-    """The whole of each is searched by `dykeswitch explore`; its figures stand in docs/explore.md."""
+    """`dykeswitch explore` searches each scope completely; docs/explore.md has the figures."""
     figures = exhaustive.Exhaustive(scopes.SCOPES[scope].small, SECONDS).run(EXECUTIONS)
     assert figures.violation is None, figures.violation
     assert figures.complete or figures.executions == EXECUTIONS
@@ -185,7 +185,7 @@
         assert 0 < len(recorded.events) < 40
         assert cli.main(["explore", "--replay", str(path)]) == 1
         assert capsys.readouterr().out in path.read_text()
-    # The guard is back: the same events break nothing.
+    # With the guard restored, the same events violate nothing.
     assert cli.main(["explore", "--replay", str(path)]) == 0
 
 
@@ -235,25 +235,28 @@
 
 
 def test_a_history_is_held_against_the_order_of_time() -> None:
-    told = histories.Answer
-    done = _order("A", "a", told.ACKNOWLEDGED, 1)
+    answers = histories.Answer
+    done = _order("A", "a", answers.ACKNOWLEDGED, 1)
     assert histories.linearizable(_history(done, _read("B", 1, b"a")))
     assert not histories.linearizable(_history(done, _read("B", 0, b"")))
-    # What is unknown may have been done or not, but not undone.
-    unknown = _order("A", "a", told.UNKNOWN)
+    # An order with an unknown result may have taken effect or not, but it cannot be undone.
+    unknown = _order("A", "a", answers.UNKNOWN)
     assert histories.linearizable(_history(unknown, _read("B", 0, b""), _read("C", 1, b"a")))
     assert not histories.linearizable(_history(unknown, _read("B", 1, b"a"), _read("C", 0, b"")))
-    # A refusal has a version that it was judged by, and that stays.
-    refused = _order("B", "b", told.REFUSED, expected=0)
+    # A refusal shows that another version existed by then, so later reads must not miss it.
+    refused = _order("B", "b", answers.REFUSED, expected=0)
     assert histories.linearizable(_history(unknown, refused, _read("C", 1, b"a")))
     assert not histories.linearizable(_history(unknown, refused, _read("C", 0, b"")))
-    # Two of one version, and one that failed and is seen.
-    assert not histories.linearizable(_history(done, _order("B", "b", told.ACKNOWLEDGED, 1)))
-    assert not histories.linearizable(_history(_order("A", "a", told.FAILED), _read("B", 1, b"a")))
+    # Two orders cannot create the same version, and the effect of a failed order cannot be read.
+    assert not histories.linearizable(_history(done, _order("B", "b", answers.ACKNOWLEDGED, 1)))
+    assert not histories.linearizable(_history(_order("A", "a", answers.FAILED), _read("B", 1, b"a")))
 
 
 def test_a_killed_process_runs_nothing_any_more() -> None:
-    """Unwinding one of its coroutines releases a lock and wakes another, after its host started anew."""
+    """Closing a coroutine of an ended process releases a lock and wakes another of its coroutines.
+
+    The woken coroutine must not run, even if the host has been started again.
+    """
     loop = loops.CooperativeLoop()  # type: ignore[abstract]
     host = hosts.Host("s1")
     host.starts = 1
@@ -267,18 +270,18 @@
     def start() -> asyncio.Task[None]:
         lock = asyncio.Lock()
 
-        async def writes() -> None:
+        async def hold_lock() -> None:
             async with lock:
                 await loop.create_future()
 
-        async def waits() -> None:
+        async def wait_for_lock() -> None:
             async with lock:
                 done.append("written")
 
-        spawn(writes())
-        return spawn(waits())
+        spawn(hold_lock())
+        return spawn(wait_for_lock())
 
-    # Somebody still refers to the one that waits, as to a call on its way.
+    # The reference keeps the waiting task alive, as a call in progress would.
     waiting = start()
     loop.run_until_idle()
     host.stop()
