--- a/packages/cli/src/dykeswitch/cli/explore.py
+++ b/packages/cli/src/dykeswitch/cli/explore.py
@@ -24,7 +24,7 @@
     """Add the command and its flags."""
     text = "explore orders of messages, faults and restarts of the register; exit code 1 on a violation"
     subparser = subparsers.add_parser(COMMAND, help=text, description=text)
-    names = "; ".join(f"{scope.name}: {scope.text}" for scope in scopes.SCOPES.values())
+    names = "; ".join(f"{scope.name}: {scope.description}" for scope in scopes.SCOPES.values())
     subparser.add_argument("--scope", choices=list(scopes.SCOPES), help=names)
     subparser.add_argument("--seed", type=int, default=1, help="seed of the random schedules (default 1)")
     text = "duration of each of the two searches, the exhaustive and the random one (default 60)"
@@ -76,7 +76,7 @@
     print(f"{traces.COMMENT} {scope.name} {form}: {json.dumps(page)}", flush=True)
     if violation is None:
         return EXIT_CLEAN
-    sys.stderr.write(f"{violation.what}: shrinking a trace of {len(violation.trace)} events\n")
+    sys.stderr.write(f"{violation.message}: shrinking a trace of {len(violation.trace)} events\n")
     print(traces.write(scope, form, replay.shrink(traces.plan_of(scope, form), violation)), end="")
     return EXIT_VIOLATION
 
--- a/packages/explorer/src/dykeswitch/explorer/calls.py
+++ b/packages/explorer/src/dykeswitch/explorer/calls.py
@@ -1,4 +1,4 @@
-"""Calls between hosts: each is a request and a reply that the model delivers, or does not."""
+"""Calls between hosts. The model delivers or loses each request and each reply."""
 
 import asyncio
 import dataclasses
@@ -14,26 +14,26 @@
 
 
 class Phase(enum.Enum):
-    """Where a call is."""
+    """The state of a call."""
 
     REQUEST = "request"
     RUNNING = "running"
     REPLY = "reply"
-    # The host that ran it ended; the caller has yet to learn it.
+    # The target process ended during the call; the caller has not been notified yet.
     BROKEN = "broken"
 
 
-@fingerprint.leave_out
+@fingerprint.exclude_from_fingerprint
 @dataclasses.dataclass(eq=False)
 class Call:
-    """One call on its way."""
+    """A call in progress."""
 
     source: hosts.Host
     target: hosts.Host
     kind: str
     body: bytes
     label: str
-    # Nothing where the caller waits no more: it gave up, or this is a second delivery.
+    # None if no caller is waiting: the caller gave up, or this is a duplicate delivery.
     future: asyncio.Future[frames.Result] | None
     phase: Phase = Phase.REQUEST
     reply: frames.Result | None = None
@@ -43,14 +43,14 @@
         self.target_only = frozenset({self.target.name})
         self.both_ends = self.source_only | self.target_only
 
-    def settle(self, result: frames.Result) -> None:
-        """Hand the caller its result, if it still waits."""
+    def resolve(self, result: frames.Result) -> None:
+        """Return the result to the caller, if it is still waiting."""
         if self.future is not None and not self.future.done() and self.source.up:
             self.future.set_result(result)
         self.future = None
 
     def state(self) -> str:
-        """The call as text for a fingerprint."""
+        """Describe the call for a fingerprint."""
         reply = "" if self.reply is None else repr(self.reply)
         return f"{self.label} {self.body!r} {self.phase.value} {self.future is not None} {reply}"
 
@@ -58,9 +58,9 @@
 Send = typing.Callable[[hosts.Host, str, str, frames.Body], asyncio.Future[frames.Result]]
 
 
-@fingerprint.leave_out
+@fingerprint.exclude_from_fingerprint
 class ModelCallClient(frames.CallClient):
-    """Makes calls by way of the model."""
+    """Makes calls through the model."""
 
     def __init__(self, host: hosts.Host, send: Send) -> None:
         super().__init__(hosts.NoNetwork())
@@ -68,26 +68,26 @@
         self._send = send
 
     async def call(self, address: str, kind: str, body: frames.Body, timeout_s: float) -> frames.Result:
-        """Send one request and wait for what the model makes of it."""
+        """Send a request and wait until the model delivers a reply or an error."""
         return await self._send(self._host, address, kind, body)
 
 
 async def serve(handlers: typing.Mapping[str, frames.Handler], call: Call) -> None:
-    """Run a call at its target, as `frames.CallServer` does."""
+    """Run a call at its target, in the same way as `frames.CallServer`."""
     handler = handlers.get(call.kind)
     if handler is None:
         result: frames.Result = outcome.failure("no_kind", call.kind)
     else:
         try:
             result = await handler(cbor2.loads(call.body))
-        except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError) as flaw:
-            result = outcome.failure("bad_frame", f"{type(flaw).__name__}: {flaw}")
-    call.reply = over_the_wire(result)
+        except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError) as error:
+            result = outcome.failure("bad_frame", f"{type(error).__name__}: {error}")
+    call.reply = round_trip_encoding(result)
     call.phase = Phase.REPLY
 
 
-def over_the_wire(result: frames.Result) -> frames.Result:
-    """A result as its caller reads it."""
+def round_trip_encoding(result: frames.Result) -> frames.Result:
+    """Encode and decode a result, as it would be on its way to the caller."""
     if isinstance(result, outcome.Success):
         body: frames.Body = cbor2.loads(cbor2.dumps(result.value))
         return outcome.Success(body)
@@ -95,24 +95,24 @@
 
 
 def describe(source: str, target: str, kind: str, body: frames.Body) -> str:
-    """A call in a few words."""
-    words = [f"{source}->{target}", kind]
+    """Return a short label for a call, which is its name in traces."""
+    parts = [f"{source}->{target}", kind]
     if "key" in body:
-        words.append(str(body["key"]))
+        parts.append(str(body["key"]))
     if "ballot" in body:
         count, name = body["ballot"]
-        words.append(f"ballot {count}.{name}")
+        parts.append(f"ballot {count}.{name}")
     if "value" in body:
-        version, held = body["value"][:2]
-        words.append(f"version {version} {_short(held)}")
+        version, body_bytes = body["value"][:2]
+        parts.append(f"version {version} {_short(body_bytes)}")
     if "set" in body:
-        words.append(f"set {body['set'][0]}")
+        parts.append(f"set {body['set'][0]}")
     if "epoch" in body:
-        words.append(f"epoch {body['epoch']}")
+        parts.append(f"epoch {body['epoch']}")
     for name in ("order", "name", "want"):
         if name in body:
-            words.append(f"{name} {body[name]}")
-    return " ".join(words)
+            parts.append(f"{name} {body[name]}")
+    return " ".join(parts)
 
 
 def _short(body: bytes) -> str:
--- a/packages/explorer/src/dykeswitch/explorer/history.py
+++ b/packages/explorer/src/dykeswitch/explorer/history.py
@@ -1,7 +1,7 @@
-"""What clients asked and were told, and whether one order of all of it explains the answers.
+"""The history of client operations and a linearizability checker.
 
-The checker is Wing and Gong's: it looks for an order of the operations that respects the order
-of time and in which a single compare-and-set register gives every answer that was given.
+The checker uses Wing and Gong's algorithm: it searches for an order of the operations that
+respects real time and in which a single compare-and-set register gives all recorded answers.
 """
 
 import dataclasses
@@ -10,19 +10,19 @@
 
 
 class Kind(enum.Enum):
-    """What a client asks for."""
+    """The kind of a client's operation."""
 
     ORDER = "order"
     READ = "read"
 
 
 class Answer(enum.Enum):
-    """What a client was told."""
+    """The answer that a client got."""
 
     NONE = "no answer"
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"
-    # The register said that nothing was changed, or could not be read.
+    # The register reported that nothing was changed, or that it could not be read.
     FAILED = "failed"
     UNKNOWN = "unknown"
     READ = "read"
@@ -30,140 +30,146 @@
 
 @dataclasses.dataclass(slots=True)
 class Operation:
-    """One operation of one client."""
+    """An operation of a client."""
 
     client: str
     number: int
     kind: Kind
     key: str
-    # An order's id, the same where it is sent again, the body that it sets, and the version
-    # that it must find (any, where there is none).
+    # The id of an order (the same when it is sent again), the body that it sets and the version
+    # that it requires (None accepts any version).
     order: str = ""
     body: bytes = b""
     expected: int | None = None
-    # The operations that had been answered when this one was asked for.
-    after: frozenset[str] = frozenset()
+    # The operations that had been answered when this one was requested.
+    predecessors: frozenset[str] = frozenset()
     answer: Answer = Answer.NONE
     version: int = 0
     read_body: bytes = b""
 
     @property
     def name(self) -> str:
-        """The operation's name, of its client and number."""
+        """The operation's name: its client and number."""
         return f"{self.client}/{self.number}"
 
-    def may_be_left_out(self) -> bool:
-        """Whether the operation may never have taken effect, or take it after its answer."""
+    def is_indeterminate(self) -> bool:
+        """Return whether the operation may have no effect, or take effect after its answer."""
         return self.answer in (Answer.NONE, Answer.UNKNOWN)
 
     def text(self) -> str:
-        """One line for a person."""
-        asked = f"read {self.key}" if self.kind is Kind.READ else f"order {self.order} on {self.key}"
+        """Return a line for people to read."""
+        request = f"read {self.key}" if self.kind is Kind.READ else f"order {self.order} on {self.key}"
         if self.expected is not None:
-            asked += f" if version {self.expected}"
-        told = self.answer.value
+            request += f" if version {self.expected}"
+        answer = self.answer.value
         if self.answer is Answer.READ:
-            told += f" version {self.version} {self.read_body!r}"
+            answer += f" version {self.version} {self.read_body!r}"
         if self.answer is Answer.ACKNOWLEDGED:
-            told += f" as version {self.version}"
-        return f"{self.name}: {asked}: {told}"
+            answer += f" as version {self.version}"
+        return f"{self.name}: {request}: {answer}"
 
 
 class History:
-    """All operations of one execution."""
+    """All operations of an execution."""
 
     def __init__(self) -> None:
         self.operations: dict[str, Operation] = {}
-        # How many calls and answers there were; tells the search which events are visible.
-        self.asked = 0
-        self.answered = 0
-
-    def ask(self, operation: Operation) -> Operation:
-        """Note that a client asks now."""
-        told = (o.name for o in self.operations.values() if not o.may_be_left_out())
-        operation.after = frozenset(told)
+        # The search compares these counts to detect events that clients can observe.
+        self.request_count = 0
+        self.answer_count = 0
+
+    def record_request(self, operation: Operation) -> Operation:
+        """Record that a client sends a request now."""
+        answered = (o.name for o in self.operations.values() if not o.is_indeterminate())
+        operation.predecessors = frozenset(answered)
         self.operations[operation.name] = operation
-        self.asked += 1
+        self.request_count += 1
         return operation
 
-    def tell(self, operation: Operation, answer: Answer, version: int = 0, body: bytes = b"") -> None:
-        """Note that a client is told now."""
+    def record_answer(
+        self, operation: Operation, answer: Answer, version: int = 0, body: bytes = b""
+    ) -> None:
+        """Record that a client gets an answer now."""
         operation.answer = answer
         operation.version = version
         operation.read_body = body
-        self.answered += 1
+        self.answer_count += 1
 
     def acknowledged(self) -> list[Operation]:
-        """The orders that were acknowledged."""
+        """Return the acknowledged orders."""
         return [o for o in self.operations.values() if o.answer is Answer.ACKNOWLEDGED]
 
-    def number_for(self, client: str) -> int:
-        """The next number of a client's operations."""
+    def next_number_for(self, client: str) -> int:
+        """Return the number for the next operation of a client."""
         return sum(1 for operation in self.operations.values() if operation.client == client) + 1
 
     def text(self) -> str:
-        """All of it in one canonical text."""
-        return ";".join(f"{o.text()} after {sorted(o.after)}" for _, o in sorted(self.operations.items()))
+        """Return the whole history as canonical text."""
+        return ";".join(
+            f"{o.text()} after {sorted(o.predecessors)}" for _, o in sorted(self.operations.items())
+        )
 
 
-class Register(typing.NamedTuple):
-    """The sequential register that the history is held against."""
+class SequentialRegister(typing.NamedTuple):
+    """The sequential register against which the history is checked."""
 
     version: int
     body: bytes
-    # The version that each order made.
-    made: frozenset[tuple[str, int]]
+    # Pairs of an order and the version that it created.
+    order_versions: frozenset[tuple[str, int]]
 
 
-EMPTY: typing.Final = Register(0, b"", frozenset())
+EMPTY_REGISTER: typing.Final = SequentialRegister(0, b"", frozenset())
 
 
-def apply(held: Register, operation: Operation) -> Register | None:
-    """The register after an operation; nothing where its answer would have been another."""
+def apply(register: SequentialRegister, operation: Operation) -> SequentialRegister | None:
+    """Return the register after an operation; None if the register gives a different answer."""
     if operation.kind is Kind.READ:
         seen = (operation.version, operation.read_body)
-        return held if operation.may_be_left_out() or seen == (held.version, held.body) else None
-    made = dict(held.made).get(operation.order)
-    if made is not None:
+        return register if operation.is_indeterminate() or seen == (register.version, register.body) else None
+    made_version = dict(register.order_versions).get(operation.order)
+    if made_version is not None:
         if operation.answer is Answer.REFUSED:
             return None
-        agrees = operation.answer is not Answer.ACKNOWLEDGED or operation.version == made
-        return held if agrees else None
-    if operation.expected is not None and operation.expected != held.version:
-        return held if operation.answer is not Answer.ACKNOWLEDGED else None
-    version = held.version + 1
+        agrees = operation.answer is not Answer.ACKNOWLEDGED or operation.version == made_version
+        return register if agrees else None
+    if operation.expected is not None and operation.expected != register.version:
+        return register if operation.answer is not Answer.ACKNOWLEDGED else None
+    version = register.version + 1
     if operation.answer is Answer.REFUSED:
         return None
     if operation.answer is Answer.ACKNOWLEDGED and operation.version != version:
         return None
-    return Register(version, operation.body, held.made | {(operation.order, version)})
+    return SequentialRegister(version, operation.body, register.order_versions | {(operation.order, version)})
 
 
 def linearizable(history: History) -> bool:
-    """Whether every key's operations have an order that explains their answers."""
+    """Return whether the operations on each key have an order that explains their answers."""
     keys = {operation.key for operation in history.operations.values()}
-    return all(_one_key([o for o in history.operations.values() if o.key == key]) for key in sorted(keys))
+    return all(
+        _is_key_linearizable([o for o in history.operations.values() if o.key == key]) for key in sorted(keys)
+    )
 
 
-def _one_key(operations: list[Operation]) -> bool:
-    # What failed has no effect and saw nothing: it has no place in the order.
-    counted = {o.name: o for o in operations if o.answer is not Answer.FAILED}
-    tried: set[tuple[frozenset[str], Register]] = set()
+def _is_key_linearizable(operations: list[Operation]) -> bool:
+    # Failed operations have no effect and observe nothing, so they are not part of the order.
+    by_name = {o.name: o for o in operations if o.answer is not Answer.FAILED}
+    visited: set[tuple[frozenset[str], SequentialRegister]] = set()
 
-    def search(left: frozenset[str], held: Register) -> bool:
-        if all(counted[name].may_be_left_out() for name in left):
+    def search(remaining: frozenset[str], register: SequentialRegister) -> bool:
+        if all(by_name[name].is_indeterminate() for name in remaining):
             return True
-        if (left, held) in tried:
+        if (remaining, register) in visited:
             return False
-        tried.add((left, held))
-        for name in sorted(left):
-            operation = counted[name]
-            # One that was answered before this one was asked for must come first.
-            if operation.after & left:
+        visited.add((remaining, register))
+        for name in sorted(remaining):
+            operation = by_name[name]
+            # Operations that were answered before this one was requested must precede it.
+            if operation.predecessors & remaining:
                 continue
-            after = apply(held, operation)
-            if after is not None and search(left - {name}, after):
+            successor = apply(register, operation)
+            if successor is not None and search(remaining - {name}, successor):
                 return True
         return False
 
-    return search(frozenset(counted), EMPTY)
+    return search(frozenset(by_name), EMPTY_REGISTER)
--- a/packages/explorer/src/dykeswitch/explorer/world.py
+++ b/packages/explorer/src/dykeswitch/explorer/world.py
@@ -1,4 +1,4 @@
-"""The world of one execution: hosts, calls on their way, disks, and what may happen next."""
+"""The world of one execution: its hosts, disks, calls in progress and faults."""
 
 import asyncio
 import contextvars
@@ -30,22 +30,22 @@
 
 
 class World:
-    """Everything in one execution."""
+    """The whole state of one execution."""
 
     def __init__(
         self,
         settings: nodes.Settings,
-        scratch: pathlib.Path,
-        known: dict[bytes, fingerprint.HostState] | None = None,
+        scratch_folder: pathlib.Path,
+        host_states: dict[bytes, fingerprint.HostState] | None = None,
     ) -> None:
         self.settings = settings
-        # States of hosts by what happened at them: a host's own events decide its state, so
-        # executions of one scope share them.
-        self._known = {} if known is None else known
-        self._pasts: dict[str, bytes] = {}
-        # Hosts that something happened to since the scope was set up.
-        self.touched: set[str] = set()
-        # At run time the base class is no abstract one.
+        # Cache of host states by the digest of the host's events. The events of a host determine
+        # its state, so all executions of a scope share the cache.
+        self._host_states = {} if host_states is None else host_states
+        self._event_digests: dict[str, bytes] = {}
+        # Hosts involved in an event since the scope was set up.
+        self.touched_hosts: set[str] = set()
+        # The type stubs declare the base class abstract; at run time it is not.
         self.loop = loops.CooperativeLoop()  # type: ignore[abstract]
         self.hosts: dict[str, hosts.Host] = {}
         self.stores: dict[str, nodes.Store] = {}
@@ -53,28 +53,28 @@
         self.handlers: dict[str, typing.Mapping[str, frames.Handler]] = {}
         self.calls: list[calls.Call] = []
         self.history = histories.History()
-        self.told: dict[tuple[str, int], bytes] = {}
+        self.reported_values: dict[tuple[str, int], bytes] = {}
         self.violation = ""
-        self.spent: dict[events.Kind, int] = {}
+        self.used_budget: dict[events.Kind, int] = {}
         self.cuts: set[tuple[str, str]] = set()
-        # Cuts that are part of the scope and never heal.
-        self.lasting_cuts: set[tuple[str, str]] = set()
-        # A machine that lost power, while it is not settled what its disk keeps.
-        self.unsettled: nodes.PowerLoss | None = None
-        self._scratch = scratch
-        self._folders = itertools.count(1)
+        # Cuts that are part of the scope and are never healed.
+        self.permanent_cuts: set[tuple[str, str]] = set()
+        # A power loss while its surviving disk content is still being decided.
+        self.power_loss: nodes.PowerLoss | None = None
+        self._scratch = scratch_folder
+        self._disk_numbers = itertools.count(1)
 
-    # Building.
+    # Set-up.
 
     def add_store(self, name: str) -> nodes.Store:
-        """A store with a blank disk, started."""
+        """Add and start a store with an empty disk."""
         host = self.hosts[name] = hosts.Host(name)
         store = self.stores[name] = nodes.Store(host, self._blank_disk())
         self._start_store(store)
         return store
 
     def add_registry(self, name: str, start: nodes.Start) -> nodes.Registry:
-        """A registry that runs a coroutine from each start on."""
+        """Add a registry that runs the given program at each start."""
         host = self.hosts[name] = hosts.Host(name)
         registry = self.registries[name] = nodes.Registry(self, host, start)
         self._start_registry(registry)
@@ -83,10 +83,10 @@
     def _blank_disk(self) -> disks.MemoryDisk:
         if not self.settings.real_files:
             return disks.MemoryDisk(self.settings.stepwise_disks)
-        return disks.FileDisk(self._scratch / f"disk{next(self._folders)}", self.settings.stepwise_disks)
+        return disks.FileDisk(self._scratch / f"disk{next(self._disk_numbers)}", self.settings.stepwise_disks)
 
     def spawn(self, host: hosts.Host, work: typing.Coroutine[typing.Any, typing.Any, object]) -> None:
-        """Run a coroutine on a host."""
+        """Run a coroutine as a main task of a host."""
         context = contextvars.Context()
         hosts.enter(context, host)
         host.main_tasks.add(self.loop.create_task(work, context=context))
@@ -102,8 +102,8 @@
         async def open_and_serve() -> None:
             try:
                 await voter.open()
-            except storage.StorageDamageError as flaw:
-                self.violate(f"I8 {host.name} can't read its disk: {flaw}")
+            except storage.StorageDamageError as error:
+                self.record_violation(f"I8 {host.name} cannot read its disk: {error}")
                 return
             self.handlers[host.name] = voter.kinds()
 
@@ -117,30 +117,30 @@
         self.spawn(registry.host, registry.start(registry))
 
     def address(self, name: str) -> ports.Address:
-        """The address that a host's calls are sent to."""
+        """Return the address of a host."""
         return ports.address_of(f"10.0.0.{list(self.hosts).index(name) + 1}:7000")
 
-    def settle(self) -> None:
-        """Let all that needs no choice happen, as while a scope is set up."""
+    def run_until_quiescent(self) -> None:
+        """Perform fault-free events until none is left; used while a scope is set up."""
         self.loop.run_until_idle()
-        while chosen := next((e for e in choices.enabled(self) if not e.costs), None):
-            self.perform(chosen)
-        self.touched.clear()
+        while event := next((e for e in choices.enabled(self) if not e.uses_budget), None):
+            self.perform(event)
+        self.touched_hosts.clear()
 
     # Calls.
 
     def send(
         self, source: hosts.Host, address: str, kind: str, body: frames.Body
     ) -> asyncio.Future[frames.Result]:
-        """Put a request on its way."""
+        """Send a request; the future gets its result."""
         target = self.hosts[list(self.hosts)[int(address.split(":")[0].split(".")[3]) - 1]]
         future: asyncio.Future[frames.Result] = self.loop.create_future()
         label = calls.describe(source.name, target.name, kind, body)
         self.calls.append(calls.Call(source, target, kind, cbor2.dumps(body), label, future))
         return future
 
-    def deliver(self, call: calls.Call) -> None:
-        """Run a request at its target."""
+    def deliver_request(self, call: calls.Call) -> None:
+        """Deliver a request to its target and run it there."""
         call.phase = calls.Phase.RUNNING
         self.spawn(call.target, self._run(call))
 
@@ -148,34 +148,34 @@
         await calls.serve(self.handlers.get(call.target.name, {}), call)
         store = self.stores.get(call.target.name)
         if store is not None and isinstance(call.reply, outcome.Success):
-            self.violate(invariants.note_answer(store, call.kind, cbor2.loads(call.body)))
+            self.record_violation(invariants.record_commitment(store, call.kind, cbor2.loads(call.body)))
 
-    def answer(self, call: calls.Call) -> None:
-        """Hand a reply to its caller."""
+    def deliver_reply(self, call: calls.Call) -> None:
+        """Deliver a reply to its caller."""
         self.calls.remove(call)
         assert call.reply is not None
-        call.source.now += self.settings.answer_time
-        call.settle(call.reply)
+        call.source.now += self.settings.time_per_reply_s
+        call.resolve(call.reply)
 
     def lose(self, call: calls.Call) -> None:
-        """Let a request or reply come to nothing; its caller learns it."""
+        """Lose a request or reply; the caller gets an error."""
         self.calls.remove(call)
-        call.source.now += self.settings.answer_time
-        call.settle(outcome.failure("no_reply", "lost"))
+        call.source.now += self.settings.time_per_reply_s
+        call.resolve(outcome.failure("no_reply", "lost"))
 
     def give_up(self, call: calls.Call) -> None:
-        """Let a caller wait no longer; the request may yet come."""
-        call.source.now += self.settings.answer_time
-        call.settle(outcome.failure("no_reply", "late"))
+        """Let a caller time out; the request may still be delivered."""
+        call.source.now += self.settings.time_per_reply_s
+        call.resolve(outcome.failure("no_reply", "late"))
 
     def duplicate(self, call: calls.Call) -> None:
-        """Deliver a request once more beside the first."""
+        """Add a duplicate of a request."""
         self.calls.append(dataclasses.replace(call, future=None, label=f"{call.label} again"))
 
     # Faults.
 
     def stop_host(self, host: hosts.Host) -> None:
-        """End a process; what it held in memory is gone."""
+        """End a process and discard its memory."""
         host.stop()
         self.handlers.pop(host.name, None)
         for call in self.calls:
@@ -186,49 +186,49 @@
         if host.name in self.stores:
             self.stores[host.name].disk.stop()
         for operation in self.history.operations.values():
-            # Whoever asked a host that ended is told nothing more.
+            # A client on an ended host gets no answer to its pending operations.
             if operation.client == host.name and operation.answer is histories.Answer.NONE:
-                self.history.tell(operation, histories.Answer.UNKNOWN)
+                self.history.record_answer(operation, histories.Answer.UNKNOWN)
 
     def lose_power(self, store: nodes.Store, step: int) -> None:
-        """Cut the power of a store within its disk's next piece of work."""
+        """Cut the power of a store at a step of its disk's next operation."""
         assert isinstance(store.disk, disks.FileDisk)
-        loose = store.disk.cut_power(step)
+        undecided = store.disk.cut_power(step)
         self.stop_host(store.host)
-        self.unsettled = nodes.PowerLoss(store, loose, [])
-        self._settle_power_loss()
+        self.power_loss = nodes.PowerLoss(store, undecided, [])
+        self._advance_power_loss()
 
-    def decide(self, keep: bool) -> None:
-        """Keep or lose the next of the unsynced changes."""
-        assert self.unsettled is not None
-        change = self.unsettled.loose.pop(0)
+    def decide_change(self, keep: bool) -> None:
+        """Keep or discard the next unsynced change."""
+        assert self.power_loss is not None
+        change = self.power_loss.undecided.pop(0)
         if keep:
-            self.unsettled.kept.append(change)
-        self._settle_power_loss()
+            self.power_loss.kept.append(change)
+        self._advance_power_loss()
 
-    def _settle_power_loss(self) -> None:
-        """Leave out what no longer matters; lose the power once nothing is left to decide."""
-        assert self.unsettled is not None
-        disk = self.unsettled.store.disk
+    def _advance_power_loss(self) -> None:
+        """Drop changes that cannot be reached any more; finish when nothing is left to decide."""
+        assert self.power_loss is not None
+        disk = self.power_loss.store.disk
         assert isinstance(disk, disks.FileDisk)
-        reached = disk.reached(self.unsettled.kept, self.unsettled.loose)
-        self.unsettled.loose = [c for c in self.unsettled.loose if c.holder in reached]
-        if not self.unsettled.loose:
-            disk.lose_power(self.unsettled.kept)
-            self.unsettled = None
+        reachable = disk.reachable(self.power_loss.kept, self.power_loss.undecided)
+        self.power_loss.undecided = [c for c in self.power_loss.undecided if c.inode in reachable]
+        if not self.power_loss.undecided:
+            disk.lose_power(self.power_loss.kept)
+            self.power_loss = None
 
     def restart(self, name: str) -> None:
-        """Start a host's process anew."""
+        """Start a host's process again."""
         if name in self.registries:
             self._start_registry(self.registries[name])
             return
         store = self.stores[name]
         if isinstance(store.disk, disks.FileDisk):
-            store.disk = store.disk.woken()
+            store.disk = store.disk.after_restart()
         self._start_store(store)
 
     def wipe(self, name: str) -> None:
-        """Put an empty disk in the place of a store's, which is down."""
+        """Replace the disk of a stopped store by an empty one."""
         store = self.stores[name]
         store.disk = self._blank_disk()
         store.view = records.view(store.disk.records)
@@ -238,112 +238,112 @@
         self.stop_host(self.hosts[name])
 
     def fire_timer(self, host: hosts.Host) -> None:
-        """Let the host's earliest timer fire."""
+        """Fire the host's earliest timer."""
         timer = host.earliest_timer()
         assert timer is not None
         host.timers.remove(timer)
-        host.now = max(host.now, timer.when)
+        host.now = max(host.now, timer.due_at)
         self.loop.fire(timer)
 
-    def cut(self, way: tuple[str, str]) -> None:
-        """Let nothing through from one host to another."""
-        self.cuts.add(way)
+    def cut(self, link: tuple[str, str]) -> None:
+        """Block all messages from one host to another."""
+        self.cuts.add(link)
 
-    def cut_for_good(self, one: str, other: str) -> None:
-        """Cut two hosts apart, both ways, for the whole execution."""
-        self.lasting_cuts |= {(one, other), (other, one)}
-        self.cuts |= self.lasting_cuts
+    def cut_permanently(self, first: str, second: str) -> None:
+        """Block all messages between two hosts for the whole execution."""
+        self.permanent_cuts |= {(first, second), (second, first)}
+        self.cuts |= self.permanent_cuts
 
-    def heal(self, way: tuple[str, str]) -> None:
-        """Let everything through again."""
-        self.cuts.discard(way)
+    def heal(self, link: tuple[str, str]) -> None:
+        """Unblock messages from one host to another."""
+        self.cuts.discard(link)
 
     # Steps.
 
-    def perform(self, event: events.Event, judge: bool = True) -> None:
-        """Let an event happen, and all that follows without another choice."""
-        if event.costs:
-            self.spent[event.kind] = self.spent.get(event.kind, 0) + 1
-        self.touched |= event.hosts
+    def perform(self, event: events.Event, check_invariants: bool = True) -> None:
+        """Perform an event and everything that follows from it without another choice."""
+        if event.uses_budget:
+            self.used_budget[event.kind] = self.used_budget.get(event.kind, 0) + 1
+        self.touched_hosts |= event.hosts
         for name in event.hosts:
-            self._add_to_past(name, f"{event.key} {event.detail()}")
+            self._extend_event_digest(name, f"{event.key} {event.detail()}")
         event.perform()
         self.loop.run_until_idle()
-        if self.settings.prompt_replies:
-            self._answer_all()
+        if self.settings.immediate_replies:
+            self._deliver_ready_replies()
         for failure in self.loop.failures:
-            self.violate(f"I10 unhandled: {failure}")
-        self.calls = [call for call in self.calls if self._still_matters(call)]
+            self.record_violation(f"I10 unhandled exception: {failure}")
+        self.calls = [call for call in self.calls if self._is_relevant(call)]
         for name in event.hosts & self.stores.keys():
             self.stores[name].view = records.view(self.stores[name].disk.records)
-        self.violate(invariants.broken_by_hosts(self, event.hosts))
-        # On the way to a state that was judged before only the hosts' own floors are kept up.
-        if judge:
-            self.violate(invariants.broken_together(self))
-
-    def _add_to_past(self, name: str, what: str) -> None:
-        past = self._pasts.get(name, b"")
-        self._pasts[name] = fingerprint.digest(f"{past!r} {what}")
-
-    def _answer_all(self) -> None:
-        """Hand over every reply that nothing holds back."""
-        while ready := next((call for call in self.calls if self._may_be_answered(call)), None):
-            self._add_to_past(ready.source.name, ready.state())
-            self.answer(ready)
+        self.record_violation(invariants.check_hosts(self, event.hosts))
+        # While a known path is repeated, only the per-host records of the invariants need updating.
+        if check_invariants:
+            self.record_violation(invariants.check_all_hosts(self))
+
+    def _extend_event_digest(self, name: str, detail: str) -> None:
+        event_digest = self._event_digests.get(name, b"")
+        self._event_digests[name] = fingerprint.digest(f"{event_digest!r} {detail}")
+
+    def _deliver_ready_replies(self) -> None:
+        """Deliver all replies that are not blocked by a cut."""
+        while ready_call := next((call for call in self.calls if self._can_deliver_reply(call)), None):
+            self._extend_event_digest(ready_call.source.name, ready_call.state())
+            self.deliver_reply(ready_call)
             self.loop.run_until_idle()
 
-    def _may_be_answered(self, call: calls.Call) -> bool:
-        back = (call.target.name, call.source.name)
-        return call.phase is calls.Phase.REPLY and back not in self.cuts
+    def _can_deliver_reply(self, call: calls.Call) -> bool:
+        reply_link = (call.target.name, call.source.name)
+        return call.phase is calls.Phase.REPLY and reply_link not in self.cuts
 
-    def _still_matters(self, call: calls.Call) -> bool:
-        # Nobody waits for it, and it has run or never will.
-        gone = call.future is None and call.phase in (calls.Phase.REPLY, calls.Phase.BROKEN)
-        refused = call.future is None and call.phase is calls.Phase.REQUEST and not call.target.up
-        return not gone and not refused
+    def _is_relevant(self, call: calls.Call) -> bool:
+        # No caller waits for the call, and it has run or can never run.
+        finished = call.future is None and call.phase in (calls.Phase.REPLY, calls.Phase.BROKEN)
+        undeliverable = call.future is None and call.phase is calls.Phase.REQUEST and not call.target.up
+        return not finished and not undeliverable
 
-    def violate(self, what: str) -> None:
-        """Note the first violation."""
-        if what and not self.violation:
-            self.violation = what
+    def record_violation(self, message: str) -> None:
+        """Record a violation, unless it is empty or an earlier one is recorded."""
+        if message and not self.violation:
+            self.violation = message
 
-    def note_told(self, key: str, value: register.Value) -> None:
-        """Note a value that somebody was told."""
-        held = self.told.setdefault((key, value.version), value.body)
-        if held != value.body:
-            self.violate(f"I1 {key} version {value.version} was told as {held!r} and as {value.body!r}")
+    def record_reported_value(self, key: str, value: register.Value) -> None:
+        """Record a value that a client was given, and check that each version has one body."""
+        reported = self.reported_values.setdefault((key, value.version), value.body)
+        if reported != value.body:
+            self.record_violation(f"I1 {key} version {value.version} is both {reported!r} and {value.body!r}")
 
     def digest(self) -> bytes:
-        """The digest of the whole state."""
-        way = sorted(call.state() for call in self.calls)
-        spent = sorted((kind.value, count) for kind, count in self.spent.items())
-        lost = self.unsettled
-        loose = None if lost is None else (lost.store.host.name, lost.loose, lost.kept)
-        faults = f"{sorted(self.touched)} {spent} {sorted(self.cuts)} {loose}"
-        rest = f"{way} {faults} {self.history.text()} {sorted(self.told.items())}"
+        """Return the digest of the whole state."""
+        call_states = sorted(call.state() for call in self.calls)
+        used_budget = sorted((kind.value, count) for kind, count in self.used_budget.items())
+        loss = self.power_loss
+        undecided = None if loss is None else (loss.store.host.name, loss.undecided, loss.kept)
+        faults = f"{sorted(self.touched_hosts)} {used_budget} {sorted(self.cuts)} {undecided}"
+        rest = f"{call_states} {faults} {self.history.text()} {sorted(self.reported_values.items())}"
         states = [self.host_state(name) for name in self.hosts]
         return fingerprint.digest(f"{states} {rest}")
 
     def host_state(self, name: str) -> fingerprint.HostState:
-        """The digests of a host's parts."""
-        past = name.encode() + self._pasts.get(name, b"")
-        if past not in self._known:
-            self._known[past] = self._new_host_state(self.hosts[name])
-        return self._known[past]
+        """Return the digests of a host's state."""
+        event_digest = name.encode() + self._event_digests.get(name, b"")
+        if event_digest not in self._host_states:
+            self._host_states[event_digest] = self._new_host_state(self.hosts[name])
+        return self._host_states[event_digest]
 
     def _new_host_state(self, host: hosts.Host) -> fingerprint.HostState:
-        found = fingerprint.of_host(host)
+        state = fingerprint.of_host(host)
         store = self.stores.get(host.name)
         if store is None:
-            return found
-        # The work that waits holds the records that it will write.
-        waiting = fingerprint.of_objects([piece.run for piece in store.disk.waiting])
-        floors = sorted(store.answered.items())
-        disk = f"{store.disk.content()} {waiting!r} {floors} {sorted(store.highest_epochs.items())}"
-        return found._replace(core=fingerprint.digest(f"{found.core!r} {disk}"))
+            return state
+        # Pending disk operations refer to the records that they will write.
+        pending = fingerprint.of_objects([piece.run for piece in store.disk.pending])
+        commitments = sorted(store.commitments.items())
+        disk = f"{store.disk.content()} {pending!r} {commitments} {sorted(store.highest_epochs.items())}"
+        return state._replace(core=fingerprint.digest(f"{state.core!r} {disk}"))
 
     def close(self) -> None:
-        """End every coroutine, so that none is left to the garbage collector."""
+        """Close every coroutine, so that none is left to the garbage collector."""
         self.loop.close()
         for host in self.hosts.values():
             for task in list(host.tasks):
