--- a/packages/frames/src/dykeswitch/frames/__init__.py
+++ b/packages/frames/src/dykeswitch/frames/__init__.py
@@ -214,7 +214,7 @@
         self._meter = meter or NullMeter()
         self._idle: dict[str, collections.deque[FrameConnection]] = {}
         self._call_id_prefix = os.urandom(CALL_ID_PREFIX_SIZE)
-        self._call_counter = itertools.count(1)
+        self._call_sequence = itertools.count(1)
 
     def close(self) -> None:
         """Closes all idle connections."""
@@ -252,7 +252,7 @@
         return outcome.failure("no_reply", f"{address}: connection closed") if result is None else result
 
     def _next_call_id(self) -> bytes:
-        return self._call_id_prefix + next(self._call_counter).to_bytes(6, "big")
+        return self._call_id_prefix + next(self._call_sequence).to_bytes(6, "big")
 
     async def _attempt(self, address: str, connection: FrameConnection, body: Body) -> Result | None:
         reusable = False
