--- a/packages/proxy/src/dykeswitch/proxy/program.py
+++ b/packages/proxy/src/dykeswitch/proxy/program.py
@@ -378,7 +378,7 @@
     def reload_settings(self, config: settings.Settings) -> None:
         """Apply changed seeds; all other settings take effect at the next start."""
         self.gossip.set_seeds(config.seeds)
-        self.log.info("settings taken up", seeds=len(config.seeds))
+        self.log.info("settings reloaded", seeds=len(config.seeds))
 
     async def _drain(self) -> None:
         self.stopping = True
