--- a/packages/scale/src/dykeswitch/scale/data_path.py
+++ b/packages/scale/src/dykeswitch/scale/data_path.py
@@ -105,7 +105,7 @@
         testbeds.tell_watchdog(self._watchdog, self.proxy)
         self.fleet.spawn(self.fleet.clients.watch_readiness())
         await self.fleet.until(lambda: bool(self.fleet.clients.ready), 60, "the proxy is ready")
-        while await self.fleet.known() < self.load.endpoints:
+        while await self.fleet.known_endpoint_count() < self.load.endpoints:
             await self.fleet.machine.clock.sleep(0.05)
 
     async def stop(self) -> None:
@@ -122,7 +122,7 @@
         await asyncio.sleep(IDLE_S)
         if isinstance(self.proxy, Sampled):
             # What it took to start is no part of a request.
-            self.proxy.tell(signal.SIGUSR1)
+            self.proxy.send_signal(signal.SIGUSR1)
         before = process_stats.read(self.proxy.pid)
         end = loop.time() + DURATION_S
         due = loop.time()
@@ -176,8 +176,8 @@
             "took": {name: testbeds.quantiles(took) for name, took in sorted(bench.took.items())},
         }
         if isinstance(bench.proxy, Sampled):
-            bench.proxy.tell(signal.SIGTERM)
-            await bench.proxy.gone(15)
+            bench.proxy.send_signal(signal.SIGTERM)
+            await bench.proxy.wait_exit(15)
             page["sampled"] = bench.proxy.parts()
     finally:
         with contextlib.suppress(OSError):
--- a/packages/scale/src/dykeswitch/scale/testbed.py
+++ b/packages/scale/src/dykeswitch/scale/testbed.py
@@ -79,7 +79,7 @@
         await self.change()
         cores = clock.now()
         await asyncio.gather(*(worker.start() for worker in self.endpoints))
-        while await self.fleet.known() < self.size.endpoints:
+        while await self.fleet.known_endpoint_count() < self.size.endpoints:
             if clock.now() - cores > START_S:
                 raise TimeoutError("endpoints not known")
             await clock.sleep(0.1)
--- a/packages/simulator/src/dykeswitch/simulator/faults/beats.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/beats.py
@@ -38,7 +38,7 @@
     """An endpoint's last beats come after the one by which it left."""
     service = stage.any_service()
     name = stage.rng.choice(stage.live_endpoints(service.name))
-    pages = [stage.fleet.endpoints[name].page() for _ in range(4)]
+    pages = [stage.fleet.endpoints[name].heartbeat_body() for _ in range(4)]
     stage.new_endpoint(service, stage.fleet.world.address())
     leaving = asyncio.create_task(stage.fleet.drain_endpoint(name, 5.0))
     for page in stage.rng.sample(pages, len(pages)):
@@ -53,7 +53,7 @@
     one, two = stage.rng.sample(stage.fleet.shape.services, 2)
     name = stage.rng.choice(stage.live_endpoints(one.name))
     endpoint = stage.fleet.endpoints[name]
-    pages = [endpoint.page() for _ in range(4)]
+    pages = [endpoint.heartbeat_body() for _ in range(4)]
     stage.fleet.kill_endpoint(name)
     stage.new_endpoint(two, endpoint.address, 0.2)
     stage.new_endpoint(one, stage.fleet.world.address())
@@ -87,13 +87,13 @@
     name = stage.new_endpoint(service, stage.fleet.world.address(), tells_more=True)
     await asyncio.sleep(2.5)
     endpoint = stage.fleet.endpoints[name]
-    pages = [endpoint.page() for _ in range(3)]
+    pages = [endpoint.heartbeat_body() for _ in range(3)]
     if await endpoint.drain():
         stage.fleet.left[name] = stage.now
     else:
         stage.report_failure(f"no registry took up that {name} drains")
     # It beats no more by itself: only older words come.
-    endpoint.beating = False
+    endpoint.heartbeats_enabled = False
     for page in pages:
         await asyncio.sleep(0.7)
         await _post(stage, page)
--- a/packages/simulator/src/dykeswitch/simulator/faults/callers.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/callers.py
@@ -111,7 +111,7 @@
         await asyncio.sleep(LONG_WORK_EACH_S)
         service = stage.rng.choice(services)
         requests.append(
-            stage.fleet.spawn(stage.fleet.clients.send_request(service, more=f"&work={LONG_WORK_S}"))
+            stage.fleet.spawn(stage.fleet.clients.send_request(service, query_suffix=f"&work={LONG_WORK_S}"))
         )
     await asyncio.gather(*requests)
 
--- a/packages/simulator/src/dykeswitch/simulator/faults/full.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/full.py
@@ -75,7 +75,7 @@
     with stage.with_profile(names, slots=2, queue=8, press=2.0, spread=0.6, tells=True):
         for name in names:
             endpoint = stage.fleet.endpoints[name]
-            endpoint.profile = endpoint.profile.drawn(stage.rng)
+            endpoint.profile = endpoint.profile.with_random_pace(stage.rng)
         for service in stage.fleet.shape.services:
             await stage.fleet.clients.send_burst(service, 15, 1.0)
         await asyncio.sleep(4.0)
--- a/packages/simulator/src/dykeswitch/simulator/faults/identity.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/identity.py
@@ -27,7 +27,7 @@
     # Pipes that were used just now need no fresh proof.
     await fleet.clients.send_burst(one, 40, 0.1)
     endpoint = fleet.endpoints[name]
-    endpoint.beating = False
+    endpoint.heartbeats_enabled = False
     endpoint.name, endpoint.service = f"{name}-turned", two.name
     fleet.endpoints[endpoint.name] = endpoint
     await fleet.clients.send_burst(one, 40, 0.3)
--- a/packages/simulator/src/dykeswitch/simulator/faults/proxies.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/proxies.py
@@ -166,7 +166,7 @@
         stage.fresh += 1
         fresh = fleet.edge(f"proxy-more{stage.fresh}", stage.fresh)
         fleet.edges.append(fresh)
-        fleet.clients.add(fresh.web)
+        fleet.clients.add_proxy(fresh.web)
         fresh.node.start()
     await asyncio.sleep(3.0)
     service = fleet.shape.services[0]
--- a/packages/simulator/src/dykeswitch/simulator/faults/routes.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/routes.py
@@ -13,9 +13,9 @@
 SHARE: typing.Final = 0.7
 # A change is sent once all requests have the first half of their answers, and is in force before
 # their endpoints break off.
-CHANGE_AFTER_S: typing.Final = 0.1 * endpoint_faults.HALF_WAY_S
+CHANGE_AFTER_S: typing.Final = 0.1 * endpoint_faults.MID_BODY_PAUSE_S
 # How long a request takes at the most: each of its three tries breaks off half way.
-ENDS_S: typing.Final = 4 * endpoint_faults.HALF_WAY_S
+ENDS_S: typing.Final = 4 * endpoint_faults.MID_BODY_PAUSE_S
 
 Rules = list[dict[str, typing.Any]]
 
--- a/packages/simulator/src/dykeswitch/simulator/fleet.py
+++ b/packages/simulator/src/dykeswitch/simulator/fleet.py
@@ -55,7 +55,7 @@
         self.rng = random.Random(seed + 2)
         self._bounds = bounds or {}
         # Whether requests are sent that each layout moves to another service.
-        self.slots = shapes.SLOTS if check_routes else ()
+        self.slots = shapes.ROUTE_CHECK_SERVICES if check_routes else ()
         self.outside = self.world.machine_for("outside")
         self.clock = self.outside.clock
         self.record = clients.TrafficRecord(self.clock)
@@ -155,7 +155,7 @@
             service.work_s,
             on_execution=self.record.record_execution,
             on_arrival=self._record_arrival,
-            profile=profiles.PLAIN if service.profile is None else service.profile.drawn(rng),
+            profile=profiles.PLAIN if service.profile is None else service.profile.with_random_pace(rng),
             on_start=self.record.record_start,
             on_misdirected=self._record_misdirected,
         )
@@ -204,7 +204,7 @@
         links = self.world.links
         links.reset_host(name)
         links.listeners = {s: e for s, e in links.listeners.items() if e[0] is not host}
-        self.endpoints[name].beating = False
+        self.endpoints[name].heartbeats_enabled = False
         for task in list(host.tasks):
             task.cancel()
 
--- a/packages/simulator/src/dykeswitch/simulator/realengine.py
+++ b/packages/simulator/src/dykeswitch/simulator/realengine.py
@@ -133,8 +133,8 @@
     """Start the fleet and wait until every duty has its owner; seconds until it was up."""
     begun = stage.now
     up_s = await stage.fleet.start()
-    body = json.dumps(stage.fleet.first, sort_keys=True)
-    first = observations.LayoutPut(begun, body, None, stage.now, 200, stage.fleet.first_version)
+    body = json.dumps(stage.fleet.initial_layout, sort_keys=True)
+    first = observations.LayoutPut(begun, body, None, stage.now, 200, stage.fleet.initial_version)
     stage.story.puts.append(first)
     stage.fleet.spawn(stage.sample())
     await asyncio.sleep(scenarios.SETTLED_S)
@@ -146,10 +146,10 @@
     told: set[int] = set()
     while True:
         for process in stage.fleet.processes():
-            if process.started and not process.running() and not process.told_to_end:
+            if process.started and not process.running() and not process.end_requested:
                 if process.pid not in told:
                     told.add(process.pid)
-                    stage.story.crashes.append(f"{process.name} ended by itself with {process.code}")
+                    stage.story.crashes.append(f"{process.name} ended by itself with {process.exit_code}")
         await asyncio.sleep(WATCH_S)
 
 
@@ -164,7 +164,7 @@
     story, fleet = stage.story, stage.fleet
     # Processes are scheduled by the machine: what they do is seen a little later.
     story.wire_s = WIRE_S
-    story.arrivals, story.left = fleet.gather()
+    story.arrivals, story.left = fleet.collect_records()
     story.requests = list(fleet.record.requests.values())
     story.route_checks = fleet.record.route_checks
     story.executions = dict(fleet.record.executions)
--- a/packages/simulator/src/dykeswitch/simulator/realfaults.py
+++ b/packages/simulator/src/dykeswitch/simulator/realfaults.py
@@ -41,8 +41,8 @@
     """Proxies stop in order and come back, one after the other."""
     for proxy in stage.fleet.proxies[:3]:
         begun = stage.now
-        proxy.tell(signal.SIGTERM)
-        code = await proxy.gone(7.5)
+        proxy.send_signal(signal.SIGTERM)
+        code = await proxy.wait_exit(7.5)
         stage.story.stops.append(histories.Span(proxy.web, begun, stage.now))
         stage.notes[f"stop {proxy.name}"] = [code, round(stage.now - begun, 2)]
         if code != 0:
@@ -56,14 +56,14 @@
     """A proxy is frozen while a layout and an endpoint change."""
     proxy = stage.rng.choice(stage.fleet.proxies)
     begun = stage.now
-    proxy.tell(signal.SIGSTOP)
+    proxy.send_signal(signal.SIGSTOP)
     await asyncio.sleep(1)
     await stage.put(stage.core())
     host = stage.rng.choice(stage.live())
     stage.new_host(host.spec["service"], stage.fleet.address())
-    host.tell(signal.SIGTERM)
+    host.send_signal(signal.SIGTERM)
     await asyncio.sleep(4)
-    proxy.tell(signal.SIGCONT)
+    proxy.send_signal(signal.SIGCONT)
     stage.mark_gone([proxy], begun)
     await asyncio.sleep(3)
 
@@ -78,9 +78,9 @@
     await stage.put(stage.core())
     host = stage.rng.choice(stage.live())
     stage.new_host(host.spec["service"], stage.fleet.address())
-    host.tell(signal.SIGTERM)
+    host.send_signal(signal.SIGTERM)
     await asyncio.sleep(5.0)
-    if not stage.fleet.relay.held:
+    if not stage.fleet.relay.blocked_count:
         stage.story.crashes.append("the cut held nothing back")
     await stage.fleet.relay.heal()
     await holding
@@ -184,8 +184,8 @@
     for host in stage.live(service)[:3]:
         stage.new_host(service, stage.fleet.address())
         await asyncio.sleep(1.5)
-        host.tell(signal.SIGTERM)
-        await host.gone(8)
+        host.send_signal(signal.SIGTERM)
+        await host.wait_exit(8)
 
 
 async def hand_over_address(stage: RealStage) -> None:
@@ -201,9 +201,9 @@
 async def freeze_registry(stage: RealStage) -> None:
     """A registry is frozen for a while."""
     registry = stage.core()[0]
-    registry.tell(signal.SIGSTOP)
+    registry.send_signal(signal.SIGSTOP)
     await asyncio.sleep(5)
-    registry.tell(signal.SIGCONT)
+    registry.send_signal(signal.SIGCONT)
     await asyncio.sleep(2)
 
 
@@ -238,8 +238,8 @@
         for process in core:
             begun = stage.now
             changing = asyncio.create_task(stage.put(stage.core()))
-            process.tell(signal.SIGTERM)
-            code = await process.gone(histories.GRACE_S + 1)
+            process.send_signal(signal.SIGTERM)
+            code = await process.wait_exit(histories.GRACE_S + 1)
             stage.notes[f"stop {process.name}"] = [code, round(stage.now - begun, 2)]
             if code != 0:
                 stage.story.crashes.append(f"{process.name} ended with {code}")
@@ -260,8 +260,8 @@
     ]
     await asyncio.sleep(0.2)
     begun = stage.now
-    proxy.tell(signal.SIGTERM)
-    code = await proxy.gone(histories.GRACE_S + 1)
+    proxy.send_signal(signal.SIGTERM)
+    code = await proxy.wait_exit(histories.GRACE_S + 1)
     took = stage.now - begun
     stage.story.stops.append(histories.Span(proxy.web, begun, stage.now))
     done = await asyncio.gather(*requests)
@@ -278,7 +278,7 @@
     await stage.put(stage.core())
     for core in stage.fleet.cores:
         for process in core:
-            process.tell(signal.SIGKILL)
+            process.send_signal(signal.SIGKILL)
     await asyncio.sleep(2)
     for core in stage.fleet.cores:
         for process in reversed(core):
--- a/packages/simulator/src/dykeswitch/simulator/realstage.py
+++ b/packages/simulator/src/dykeswitch/simulator/realstage.py
@@ -113,8 +113,8 @@
 
     async def kill(self, process: real.Process) -> None:
         """Kill a process and wait for its end."""
-        process.tell(signal.SIGKILL)
-        await process.gone(5)
+        process.send_signal(signal.SIGKILL)
+        await process.wait_exit(5)
 
     def again(self, process: real.Process) -> None:
         """Start a process anew."""
--- a/packages/simulator/src/dykeswitch/simulator/resources.py
+++ b/packages/simulator/src/dykeswitch/simulator/resources.py
@@ -42,8 +42,8 @@
         processes += 1
         memory += held[0]
         descriptors += held[1]
-        before = worst.get(process.word, (0, 0))
-        worst[process.word] = (max(before[0], held[0]), max(before[1], held[1]))
+        before = worst.get(process.command, (0, 0))
+        worst[process.command] = (max(before[0], held[0]), max(before[1], held[1]))
     return Held(now, processes, memory, descriptors, worst)
 
 
--- a/packages/simulator/src/dykeswitch/simulator/soak/acts.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/acts.py
@@ -32,8 +32,8 @@
     stage.story.closed.append(histories.Span(process.web, begun, math.inf))
     # One that is not up yet has nothing in hand, and no handler perhaps: any end is in order.
     was_up = process.is_up()
-    process.tell(signal.SIGTERM)
-    code = await process.gone(STOP_S)
+    process.send_signal(signal.SIGTERM)
+    code = await process.wait_exit(STOP_S)
     stage.story.stops.append(histories.Span(process.web, begun, stage.now))
     if code is None:
         stage.story.crashes.append(f"{process.name} had to be killed {STOP_S} s after SIGTERM")
@@ -87,7 +87,7 @@
     """A proxy stops and comes back at another address among its fellows."""
     proxy = stage.rng.choice(stage.fleet.proxies)
     await end_in_order(stage, proxy)
-    await stage.fleet.move(proxy)
+    await stage.fleet.change_addresses(proxy)
     stage.again(proxy)
     await _until_ready(stage, proxy)
 
@@ -96,9 +96,9 @@
     """One proxy after another stands still for a moment."""
     for proxy in stage.rng.sample(stage.fleet.proxies, min(3, len(stage.fleet.proxies))):
         begun = stage.now
-        proxy.tell(signal.SIGSTOP)
+        proxy.send_signal(signal.SIGSTOP)
         await asyncio.sleep(stage.rng.uniform(0.2, 2.5))
-        proxy.tell(signal.SIGCONT)
+        proxy.send_signal(signal.SIGCONT)
         stage.mark_gone([proxy], begun)
         await asyncio.sleep(_gap(stage))
 
@@ -145,8 +145,8 @@
     ]
     await asyncio.sleep(4.0)
     for host in hosts:
-        host.tell(signal.SIGTERM)
-        await host.gone(8)
+        host.send_signal(signal.SIGTERM)
+        await host.wait_exit(8)
 
 
 async def row_of_hangups(stage: RealStage) -> None:
@@ -155,7 +155,7 @@
         processes = [*stage.fleet.proxies, *(process for core in stage.fleet.cores for process in core)]
         running = [process for process in processes if process.running()]
         if running:
-            stage.rng.choice(running).tell(signal.SIGHUP)
+            stage.rng.choice(running).send_signal(signal.SIGHUP)
         await asyncio.sleep(stage.rng.uniform(0.05, 0.6))
 
 
@@ -163,9 +163,9 @@
     """SIGTERM once more, to proxies and registries that are stopping already."""
     for _ in range(4 * ROW):
         processes = [*stage.fleet.proxies, *(registry for registry, _ in stage.fleet.cores)]
-        stopping = [process for process in processes if process.running() and process.told_to_end]
+        stopping = [process for process in processes if process.running() and process.end_requested]
         if stopping:
-            stage.rng.choice(stopping).tell(signal.SIGTERM)
+            stage.rng.choice(stopping).send_signal(signal.SIGTERM)
         await asyncio.sleep(stage.rng.uniform(0.1, 0.6))
 
 
--- a/packages/simulator/src/dykeswitch/simulator/soak/engine.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/engine.py
@@ -22,7 +22,7 @@
     web = stage.fleet.machine.web
     assert isinstance(web, real.LightWeb)
     # Who rests longest is used first, up to four fifths of what is allowed.
-    web.oldest_first, web.rest_most_s = True, IDLE_S * REST_PART
+    web.oldest_first, web.max_idle_s = True, IDLE_S * REST_PART
 
 
 async def play(plan: plans.Plan, folder: pathlib.Path) -> realengine.Day:
--- a/packages/simulator/src/dykeswitch/simulator/soak/sizes.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/sizes.py
@@ -56,7 +56,7 @@
 
 def processes(shape: shapes.Shape) -> int:
     """How many processes a fleet of a shape has, with the endpoints that rules move requests to."""
-    endpoints = sum(service.endpoints for service in (*shape.services, *shapes.SLOTS))
+    endpoints = sum(service.endpoints for service in (*shape.services, *shapes.ROUTE_CHECK_SERVICES))
     return shape.proxies + 2 * shape.cores + endpoints
 
 
@@ -66,7 +66,7 @@
     whole = dataclasses.replace(shape, services=services)
     if not nodes:
         return whole
-    fixed = 2 * whole.cores + sum(slot.endpoints for slot in shapes.SLOTS)
+    fixed = 2 * whole.cores + sum(slot.endpoints for slot in shapes.ROUTE_CHECK_SERVICES)
     part = max(0.0, nodes - fixed) / (processes(whole) - fixed)
     made = whole.scaled_down(part)
     # Rounding may add a few, and the least of everything may still be more than was asked for.
--- a/packages/simulator/src/dykeswitch/simulator/whatreal.py
+++ b/packages/simulator/src/dykeswitch/simulator/whatreal.py
@@ -34,8 +34,8 @@
     await asyncio.sleep(event.at)
     gone = _processes(fleet, event)
     for process in gone:
-        process.tell(signal.SIGKILL)
-    await asyncio.gather(*(process.gone(5) for process in gone))
+        process.send_signal(signal.SIGKILL)
+    await asyncio.gather(*(process.wait_exit(5) for process in gone))
     await asyncio.sleep(event.span)
     for process in gone:
         process.start()
@@ -51,7 +51,7 @@
         for event in variant.events:
             fleet.spawn(_play(fleet, event))
         await fleet.clients.run_traffic(span, scale)
-        fleet.gather()
+        fleet.collect_records()
         return whatif.page("real processes", [clients.summarize(fleet.record, 10.0)])
 
 
--- a/packages/standin/src/dykeswitch/standin/__init__.py
+++ b/packages/standin/src/dykeswitch/standin/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for what stands round the gateway: endpoints and callers.
+"""Stand-ins for the systems around the gateway: endpoints of services, and clients.
 
-They speak HTTP/1.1 over the same network port as the programs, so one and the same
-stand-in serves a fleet of real processes and the simulator.
+They speak HTTP/1.1 over the same network port as the programs do, so that the same stand-ins serve a
+fleet of real processes and the simulator.
 """
--- a/packages/standin/src/dykeswitch/standin/faults.py
+++ b/packages/standin/src/dykeswitch/standin/faults.py
@@ -1,16 +1,16 @@
-"""The ways in which an endpoint may fail, by name, and what they make of a reply."""
+"""The faults that a stand-in endpoint can have, by name, and what each does to a response."""
 
 import dataclasses
 import enum
 import random
 import typing
 
-# Before any work: what it says or does instead.
-UNRUN: typing.Final = ("promise", "hang", "reset")
-# Once the work is done: no reply comes at all, and how that shows.
-LOST: typing.Final = ("lose", "lose_silent", "lose_reset")
-# Bytes that are no reply, or no whole one.
-BROKEN: typing.Final = (
+# Faults that come in place of any work.
+BEFORE_WORK: typing.Final = ("promise", "hang", "reset")
+# The work is done but no response is sent; the names differ in what happens to the connection.
+NO_RESPONSE: typing.Final = ("lose", "lose_silent", "lose_reset")
+# The bytes that are sent are not a response, or not a whole one.
+MALFORMED: typing.Final = (
     "garbage",
     "garbage_any",
     "unsigned",
@@ -20,8 +20,8 @@
     "cut_reset",
     "cut_late",
 )
-# A whole reply, and then another that nobody asked for: with it, soon after it, or in the
-# place where the next one is expected; or bytes that are no reply.
+# A whole response is followed by one that nobody requested: at once, soon after it, or where the
+# next response is expected; or by bytes that are not a response.
 SURPLUS: typing.Final = ("surplus", "surplus_soon", "surplus_late", "surplus_bytes")
 
 FAULTS: typing.Final = (
@@ -29,9 +29,9 @@
     "status_500",
     "status_502",
     "status_503",
-    *UNRUN,
-    *LOST,
-    *BROKEN,
+    *BEFORE_WORK,
+    *NO_RESPONSE,
+    *MALFORMED,
     *SURPLUS,
     "wrong_id",
     "slow",
@@ -39,17 +39,17 @@
     "run_then_500_long",
     "run_then_503",
 )
-# How many times as slow an endpoint is that is told to be.
-SLOW: typing.Final = 25
-# The body of a failure that is too long for a proxy to hold before it passes it on, in bytes.
-LONG_BODY: typing.Final = 1_250_000
-# For how long an endpoint stays half way through an answer before it breaks off, in seconds.
-HALF_WAY_S: typing.Final = 3.0
-# How soon after a reply surplus bytes come: about when the next request may be on its way.
-SOON_S: typing.Final = 0.02
+# By how many times the fault "slow" lengthens the work.
+SLOWDOWN: typing.Final = 25
+# Size of an error response that is too long for a proxy to buffer whole before it passes it on.
+LONG_BODY_BYTES: typing.Final = 1_250_000
+# How long an endpoint pauses half way through a response before it breaks off.
+MID_BODY_PAUSE_S: typing.Final = 3.0
+# Surplus bytes come at most this long after a response: about when the next request may be on its way.
+MAX_SURPLUS_DELAY_S: typing.Final = 0.02
 NOT_HTTP: typing.Final = b"\x00\xff not HTTP at all \r\n\r\n"
 
-ODD: typing.Final = (
+MALFORMED_RESPONSES: typing.Final = (
     NOT_HTTP,
     b"HTTP/1.1 2",
     b"HTTP/1.1 200 OK\r\ncontent-length: 5\r\ncontent-length: 7\r\n\r\nhello77",
@@ -57,13 +57,13 @@
     b"HTTP/1.1 200 OK\r\ncontent-length: 99999\r\n\r\nshort",
     b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n",
     b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n5\r\nhello\r\n",
-    # No length and no chunks: it ends with its pipe, as a cut one would.
+    # Neither a length nor chunks: it ends with its connection, as a truncated one would.
     b"HTTP/1.1 200 OK\r\ncontent-type: application/json\r\n\r\n{}",
 )
 
 
-# Whole replies that say neither whose they are nor to what.
-UNSIGNED: typing.Final = (
+# Whole responses that name neither their endpoint nor their request.
+UNIDENTIFIED_RESPONSES: typing.Final = (
     b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}",
     b"HTTP/9.9 200 OK\r\ncontent-length: 2\r\n\r\n{}",
     b"HTTP/1.1 200 OK\r\nx-long: " + b"x" * 70000 + b"\r\ncontent-length: 2\r\n\r\nok",
@@ -71,82 +71,97 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Plan:
-    """How an endpoint behaves at the moment."""
+class FaultPlan:
+    """The fault that an endpoint has at the moment, and for which requests.
+
+    Attributes:
+        fault: The name of the fault, of `FAULTS`.
+        share: The share of requests that it affects.
+        probe_too: Whether it affects probes besides requests.
+        probe_only: Whether it affects no request, only probes.
+    """
 
     fault: str = "none"
     share: float = 1.0
     probe_too: bool = False
     probe_only: bool = False
 
-    def draw(self, rng: random.Random, probe: bool) -> str:
-        """What happens to one request, or probe."""
+    def choose_fault(self, rng: random.Random, probe: bool) -> str:
+        """Return the fault of one request or probe."""
         fault = self.fault if rng.random() < self.share else "none"
-        spared = not self.probe_too if probe else self.probe_only
-        return "none" if spared else fault
+        exempt = not self.probe_too if probe else self.probe_only
+        return "none" if exempt else fault
 
 
-class End(enum.Enum):
-    """What becomes of the pipe after a reply."""
+class ConnectionEnd(enum.Enum):
+    """What happens to the connection after a response."""
 
     KEEP = "keep"
     CLOSE = "close"
     RESET = "reset"
-    # Left open, and nothing more is said on it.
+    # Left open, and nothing more is sent on it.
     HANG = "hang"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Said:
-    """Bytes in place of a reply: at once, a little later, and before the next reply."""
+class FaultyOutput:
+    """Bytes sent in place of a response: at once, a little later, and before the next response."""
 
     data: bytes
-    end: End
-    soon: bytes = b""
-    late: bytes = b""
-    # For how long the connection stays open, and silent, after the first bytes.
+    end: ConnectionEnd
+    after_delay: bytes = b""
+    before_next: bytes = b""
+    # How long the connection stays open without further bytes after the first.
     pause_s: float = 0.0
 
 
-def lost(fault: str) -> End:
-    """How it shows that a reply is lost."""
-    return {"lose": End.CLOSE, "lose_silent": End.HANG, "lose_reset": End.RESET}[fault]
+def end_without_response(fault: str) -> ConnectionEnd:
+    """Return what happens to the connection by a fault of `NO_RESPONSE`."""
+    return {
+        "lose": ConnectionEnd.CLOSE,
+        "lose_silent": ConnectionEnd.HANG,
+        "lose_reset": ConnectionEnd.RESET,
+    }[fault]
 
 
-def said(fault: str, whole: bytes, rng: random.Random) -> Said:
-    """What is sent in place of a whole reply, or after it."""
-    return _surplus(fault, whole) if fault in SURPLUS else _broken(fault, whole, rng)
+def faulty_output(fault: str, response: bytes, rng: random.Random) -> FaultyOutput:
+    """Return what is sent in place of a whole response, or after it."""
+    return _surplus_output(fault, response) if fault in SURPLUS else _malformed_output(fault, response, rng)
 
 
-def _surplus(fault: str, whole: bytes) -> Said:
-    """A whole reply, and bytes that nobody asked for."""
-    # The same once more: a repeat of a reply belongs to nobody.
+def _surplus_output(fault: str, response: bytes) -> FaultyOutput:
+    """Return a whole response and bytes that nobody requested."""
+    # The surplus is the same response again: a repeated response belongs to no request.
     if fault == "surplus":
-        return Said(whole + whole, End.KEEP)
+        return FaultyOutput(response + response, ConnectionEnd.KEEP)
     if fault == "surplus_soon":
-        return Said(whole, End.KEEP, soon=whole)
+        return FaultyOutput(response, ConnectionEnd.KEEP, after_delay=response)
     if fault == "surplus_late":
-        return Said(whole, End.KEEP, late=whole)
-    return Said(whole + NOT_HTTP, End.KEEP)
+        return FaultyOutput(response, ConnectionEnd.KEEP, before_next=response)
+    return FaultyOutput(response + NOT_HTTP, ConnectionEnd.KEEP)
 
 
-def _broken(fault: str, whole: bytes, rng: random.Random) -> Said:
-    """Bytes that are no reply, or no whole one."""
-    head, gap, body = whole.partition(b"\r\n\r\n")
+def _malformed_output(fault: str, response: bytes, rng: random.Random) -> FaultyOutput:
+    """Return bytes that are not a response, or not a whole one."""
+    head, separator, body = response.partition(b"\r\n\r\n")
     if fault == "garbage":
-        return Said(NOT_HTTP, End.CLOSE)
+        return FaultyOutput(NOT_HTTP, ConnectionEnd.CLOSE)
     if fault == "garbage_any":
-        return Said(rng.choice(ODD), rng.choice((End.CLOSE, End.HANG)))
+        return FaultyOutput(
+            rng.choice(MALFORMED_RESPONSES), rng.choice((ConnectionEnd.CLOSE, ConnectionEnd.HANG))
+        )
     if fault == "unsigned":
-        return Said(rng.choice(UNSIGNED), End.CLOSE)
+        return FaultyOutput(rng.choice(UNIDENTIFIED_RESPONSES), ConnectionEnd.CLOSE)
     if fault == "cut_head":
-        return Said(head[: rng.randrange(1, len(head))], End.CLOSE)
+        return FaultyOutput(head[: rng.randrange(1, len(head))], ConnectionEnd.CLOSE)
     half = body[: len(body) // 2]
     if fault == "cut_chunks":
         fields = [f for f in head.split(b"\r\n") if not f.lower().startswith(b"content-length:")]
         fields.append(b"transfer-encoding: chunked")
-        return Said(b"\r\n".join(fields) + gap + b"%x\r\n%s\r\n" % (len(half), half), End.CLOSE)
-    data = head + gap + half
+        return FaultyOutput(
+            b"\r\n".join(fields) + separator + b"%x\r\n%s\r\n" % (len(half), half), ConnectionEnd.CLOSE
+        )
+    data = head + separator + half
     if fault == "cut_late":
-        return Said(data, End.CLOSE, pause_s=HALF_WAY_S)
-    return Said(data, End.RESET if fault == "cut_reset" else End.CLOSE)
+        return FaultyOutput(data, ConnectionEnd.CLOSE, pause_s=MID_BODY_PAUSE_S)
+    return FaultyOutput(data, ConnectionEnd.RESET if fault == "cut_reset" else ConnectionEnd.CLOSE)
--- a/packages/standin/src/dykeswitch/standin/fleet.py
+++ b/packages/standin/src/dykeswitch/standin/fleet.py
@@ -1,7 +1,7 @@
 """A whole fleet of real processes on one machine.
 
-The three programs start no process. This is a tool for tests that plays the
-platform: it starts them, watches their readiness and stops them by their ids.
+The three programs start no processes themselves. This test tool acts as the platform: it starts them,
+watches their readiness and stops them by their process ids.
 """
 
 import asyncio
@@ -29,27 +29,27 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody listens on at the moment."""
-    socks = []
+    """Return ports on which nobody listens at the moment."""
+    sockets = []
     for _ in range(count):
         sock = socket.socket()
         sock.bind(("127.0.0.1", 0))
-        socks.append(sock)
-    found = [s.getsockname()[1] for s in socks]
-    for sock in socks:
+        sockets.append(sock)
+    numbers = [s.getsockname()[1] for s in sockets]
+    for sock in sockets:
         sock.close()
-    return found
+    return numbers
 
 
 class Fleet:
-    """Processes, stand-in endpoints and stand-in callers of one shape."""
+    """The processes, stand-in endpoints and stand-in clients of one shape."""
 
     def __init__(
         self, shape: shapes.Shape, folder: pathlib.Path, seed: int, check_routes: bool = False
     ) -> None:
         self.shape = shape
-        # Whether requests are sent that each layout moves to another service.
-        self.slots = shapes.SLOTS if check_routes else ()
+        # Services for requests that each layout routes to another one; empty without route checks.
+        self.slots = shapes.ROUTE_CHECK_SERVICES if check_routes else ()
         self.folder = folder
         self.rng = random.Random(seed)
         self.machine: ports.Machine = real.machine()
@@ -60,9 +60,9 @@
         self.hosts: list[Host] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self.relay = relays.Relay()
-        # The layout that the fleet begins with, and its version.
-        self.first: dict[str, typing.Any] = {}
-        self.first_version = 0
+        self.initial_layout: dict[str, typing.Any] = {}
+        self.initial_version = 0
+        # Of each process behind the relay: the address it advertises, and the one it listens at.
         self._relayed_addresses: dict[str, tuple[str, str]] = {}
         self._build()
         self.clients = clients.Clients(
@@ -84,7 +84,7 @@
                 "web": self.address(),
                 "seeds": ",".join(members),
             }
-            self._relayed(flags)
+            self._listen_behind_relay(flags)
             self.proxies.append(Process("proxy", f"proxy{n}", flags, self.folder))
         for service in (*shape.services, *self.slots):
             for n in range(service.endpoints):
@@ -96,7 +96,7 @@
         data = self.folder / f"{name}-data"
         data.mkdir(exist_ok=True)
         zone = self.shape.zones[n % len(self.shape.zones)]
-        registry = {
+        registry_flags = {
             "name": name,
             "zone": zone,
             "member": member,
@@ -105,33 +105,33 @@
             "seeds": ",".join(seeds),
             "founders": ",".join(founders),
         }
-        self._relayed(registry)
-        keeper = {"name": f"{name}-store", "store": store, "web": self.address(), "data": str(data)}
+        self._listen_behind_relay(registry_flags)
+        store_flags = {"name": f"{name}-store", "store": store, "web": self.address(), "data": str(data)}
         return (
-            Process("registry", name, registry, self.folder),
-            Process("store", f"{name}-store", keeper, self.folder),
+            Process("registry", name, registry_flags, self.folder),
+            Process("store", f"{name}-store", store_flags, self.folder),
         )
 
-    def _relayed(self, flags: dict[str, str]) -> None:
-        """Where others may be cut off from it, a process listens behind the relay."""
+    def _listen_behind_relay(self, flags: dict[str, str]) -> None:
+        """Let a process listen behind the relay, if calls between processes may be cut."""
         if self.slots:
             flags["listen"] = self.address()
             self._relayed_addresses[flags["name"]] = (flags["member"], flags["listen"])
 
-    async def move(self, proxy: Process) -> None:
-        """Give a proxy that does not run other addresses, which the platform learns of."""
+    async def change_addresses(self, proxy: Process) -> None:
+        """Give a proxy other addresses while it doesn't run, and make them known to the platform."""
         proxy.flags["member"], proxy.flags["web"] = self.address(), self.address()
         if self.slots:
-            self._relayed(proxy.flags)
+            self._listen_behind_relay(proxy.flags)
             await self.relay.open(proxy.name, *self._relayed_addresses[proxy.name])
-        self.clients.add(proxy.web)
+        self.clients.add_proxy(proxy.web)
 
     def address(self) -> str:
-        """One more free address."""
+        """Return another free address."""
         return self._ports.address()
 
     def host(self, name: str, service: shapes.ServiceShape, n: int, address: str, **more: typing.Any) -> Host:
-        """One more stand-in endpoint, not yet started."""
+        """Add another stand-in endpoint, not yet started."""
         spec = {
             "service": service.name,
             "spot": address,
@@ -141,13 +141,17 @@
             **more,
         }
         if service.profile is not None:
-            spec["nature"] = dataclasses.asdict(service.profile.drawn(self.rng))
-        made = Host(name, spec, self.folder)
-        self.hosts.append(made)
-        return made
+            spec["nature"] = dataclasses.asdict(service.profile.with_random_pace(self.rng))
+        host = Host(name, spec, self.folder)
+        self.hosts.append(host)
+        return host
 
-    def gather(self) -> tuple[list[tuple[float, str, str]], dict[str, float]]:
-        """Bring the endpoints' own books into the record; hits and leavings."""
+    def collect_records(self) -> tuple[list[tuple[float, str, str]], dict[str, float]]:
+        """Read the endpoints' logs into the record.
+
+        Returns:
+            The arrivals of requests (time, request id, endpoint), and when each endpoint left.
+        """
         arrivals: list[tuple[float, str, str]] = []
         left: dict[str, float] = {}
         self.record.executions.clear()
@@ -164,103 +168,103 @@
         return sorted(arrivals), left
 
     def spawn(self, work: typing.Coroutine[typing.Any, typing.Any, None]) -> None:
-        """Run something beside the fleet, until it stops."""
+        """Run a coroutine beside the fleet, until the fleet stops."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def processes(self) -> list[Process]:
-        """Every process: cores, proxies, endpoints."""
+        """Return every process: cores, proxies, endpoints."""
         return [p for pair in self.cores for p in pair] + self.proxies + list(self.hosts)
 
     async def start(self) -> float:
-        """Start all, send the layout, and wait until every proxy is ready."""
-        begun = self.machine.clock.now()
+        """Start all, send the layout and wait until every proxy is ready; return how long it took."""
+        started_at = self.machine.clock.now()
         for name, (address, inner) in self._relayed_addresses.items():
             await self.relay.open(name, address, inner)
         for process in self.processes():
             process.start()
         self.spawn(self.clients.watch_readiness())
-        first = self.shape.layout()
-        self.first = shapes.rotating_layout(first, 0) if self.slots else first
-        self.first_version = await self.apply(self.first)
+        layout = self.shape.layout()
+        self.initial_layout = shapes.rotating_layout(layout, 0) if self.slots else layout
+        self.initial_version = await self.apply(self.initial_layout)
         await self.until(lambda: len(self.clients.ready) == len(self.proxies), 60, "all proxies ready")
         await self._until_known(60)
-        return self.machine.clock.now() - begun
+        return self.machine.clock.now() - started_at
 
-    async def _until_known(self, wait: float) -> None:
-        """Wait until a registry knows every endpoint; it may still be starting when others serve."""
-        end = self.machine.clock.now() + wait
+    async def _until_known(self, timeout_s: float) -> None:
+        """Wait until the first registry knows every endpoint; it may still be starting when others serve."""
+        deadline = self.machine.clock.now() + timeout_s
         while True:
             try:
-                if await self.known() >= len(self.hosts):
+                if await self.known_endpoint_count() >= len(self.hosts):
                     return
             except OSError:
-                # It does not listen yet: two of three registries are enough for all before this.
+                # It doesn't listen yet: two of three registries were enough for all steps before this one.
                 pass
-            if self.machine.clock.now() > end:
+            if self.machine.clock.now() > deadline:
                 raise TimeoutError("every endpoint known to the first registry")
             await self.machine.clock.sleep(0.05)
 
-    async def known(self) -> int:
-        """How many endpoints a registry knows to be up."""
-        reply = await self.machine.web.request("GET", self.cores[0][0].web, "/v1/endpoints", [], b"", 5)
-        return sum(1 for e in json.loads(reply.body)["endpoints"] if e["state"] == "up")
+    async def known_endpoint_count(self) -> int:
+        """Return how many endpoints the first registry knows to be up."""
+        response = await self.machine.web.request("GET", self.cores[0][0].web, "/v1/endpoints", [], b"", 5)
+        return sum(1 for endpoint in json.loads(response.body)["endpoints"] if endpoint["state"] == "up")
 
-    async def until(self, test: typing.Callable[[], bool], wait: float, what: str) -> float:
-        """Wait until a test holds; seconds that it took."""
-        begun = self.machine.clock.now()
-        while not test():
-            if self.machine.clock.now() - begun > wait:
+    async def until(self, predicate: typing.Callable[[], bool], timeout_s: float, what: str) -> float:
+        """Wait until a predicate holds; return how many seconds it took."""
+        started_at = self.machine.clock.now()
+        while not predicate():
+            if self.machine.clock.now() - started_at > timeout_s:
                 raise TimeoutError(what)
             await self.machine.clock.sleep(0.02)
-        return self.machine.clock.now() - begun
+        return self.machine.clock.now() - started_at
 
-    async def apply(self, layout: dict[str, typing.Any], wait: float = 60) -> int:
-        """Send a layout until some registry has taken it; its version."""
-        end = self.machine.clock.now() + wait
+    async def apply(self, layout: dict[str, typing.Any], timeout_s: float = 60) -> int:
+        """Send a layout until some registry has accepted it; return its version."""
+        deadline = self.machine.clock.now() + timeout_s
         data = json.dumps(layout).encode()
-        last = ""
-        while self.machine.clock.now() < end:
+        failure = ""
+        while self.machine.clock.now() < deadline:
             for registry, _ in self.cores:
                 try:
-                    reply = await self.machine.web.request("PUT", registry.web, "/v1/layout", [], data, 5)
-                except (OSError, TimeoutError) as flaw:
-                    last = str(flaw)
+                    response = await self.machine.web.request("PUT", registry.web, "/v1/layout", [], data, 5)
+                except (OSError, TimeoutError) as error:
+                    failure = str(error)
                     continue
-                if reply.status == 200:
-                    return int(json.loads(reply.body)["version"])
-                last = reply.body.decode()
+                if response.status == 200:
+                    return int(json.loads(response.body)["version"])
+                failure = response.body.decode()
             await self.machine.clock.sleep(0.2)
-        raise TimeoutError(f"no registry took the layout: {last}")
+        raise TimeoutError(f"no registry accepted the layout within {timeout_s} s: {failure}")
 
     async def layout_versions(self) -> list[int]:
-        """The layout version that each running proxy carries."""
+        """Return the layout version that each proxy serves by; -1 for one that doesn't answer."""
 
-        async def one(proxy: Process) -> int:
+        async def version_of(proxy: Process) -> int:
             try:
-                reply = await self.machine.web.request("GET", proxy.web, "/readyz", [], b"", 1)
-                return int(json.loads(reply.body)["layout"])
+                response = await self.machine.web.request("GET", proxy.web, "/readyz", [], b"", 1)
+                return int(json.loads(response.body)["layout"])
             except (OSError, TimeoutError):
                 return -1
 
-        return list(await asyncio.gather(*(one(p) for p in self.proxies)))
+        return list(await asyncio.gather(*(version_of(p) for p in self.proxies)))
 
     async def stop(self) -> None:
-        """End every process, in order where it still listens."""
+        """End every process: endpoints at once, the others in order, and by force if they take too long."""
         for task in list(self._tasks):
             task.cancel()
         self.relay.close()
         self._ports.close()
         for host in self.hosts:
-            host.tell(signal.SIGKILL)
+            host.send_signal(signal.SIGKILL)
         for process in self.processes():
-            process.tell(signal.SIGCONT)
-            process.tell(signal.SIGTERM)
+            process.send_signal(signal.SIGCONT)
+            process.send_signal(signal.SIGTERM)
         for process in self.processes():
-            if process.started and await process.gone(10) is None:
-                process.tell(signal.SIGKILL)
-                await process.gone(5)
+            if process.started and await process.wait_exit(10) is None:
+                process.send_signal(signal.SIGKILL)
+                await process.wait_exit(5)
 
 
 @contextlib.asynccontextmanager
@@ -271,7 +275,10 @@
     check_routes: bool = False,
     folder: pathlib.Path | None = None,
 ) -> typing.AsyncIterator[Fleet]:
-    """A fleet that is up, and is taken down at the end whatever happens; a folder that is given is kept."""
+    """Provide a fleet, not yet started, and stop it at the end whatever happens.
+
+    The folder of its logs and data is removed, unless it is given or `keep` is set.
+    """
     keep = keep or folder is not None
     folder = folder or pathlib.Path(tempfile.mkdtemp(prefix="dykeswitch-fleet-"))
     fleet = Fleet(shape, folder, seed, check_routes)
@@ -283,20 +290,22 @@
             shutil.rmtree(folder, ignore_errors=True)
 
 
-async def show(name: str, span: float, seed: int, scale: float) -> dict[str, typing.Any]:
-    """Start a fleet, send its traffic for a span, and return the figures."""
+async def show(name: str, duration_s: float, seed: int, scale: float) -> dict[str, typing.Any]:
+    """Start a fleet, send its traffic for a while, and return the figures."""
     async with running(shapes.SHAPES[name], seed) as fleet:
-        up = await fleet.start()
+        startup_s = await fleet.start()
         addresses: dict[str, list[str]] = {}
         for host in fleet.hosts:
             addresses.setdefault(str(host.spec["service"]), []).append(str(host.spec["spot"]))
-        straight = await clients.direct(fleet.shape, fleet.machine, addresses, fleet.rng, span / 2, scale)
-        base = clients.summarize(straight, 10.0)
-        await fleet.clients.run_traffic(span, scale)
-        fleet.gather()
+        direct_record = await clients.run_direct_traffic(
+            fleet.shape, fleet.machine, addresses, fleet.rng, duration_s / 2, scale
+        )
+        base = clients.summarize(direct_record, 10.0)
+        await fleet.clients.run_traffic(duration_s, scale)
+        fleet.collect_records()
         figures = clients.summarize(fleet.record, 10.0)
         versions = await fleet.layout_versions()
-        head = {"shape": name, "up_s": round(up, 2), "processes": len(fleet.processes())}
+        head = {"shape": name, "up_s": round(startup_s, 2), "processes": len(fleet.processes())}
         ratio = {
             key: round(figures[key] / base[key], 2)
             for key in ("p50_ms", "p99_ms")
--- a/packages/standin/src/dykeswitch/standin/headers.py
+++ b/packages/standin/src/dykeswitch/standin/headers.py
@@ -1,13 +1,14 @@
-"""Header fields between stand-in callers and endpoints."""
+"""Header fields between stand-in clients and endpoints."""
 
 import typing
 import zlib
 
-# What a caller names the endpoint by that it means, and what of a request is said back.
+# The name of the endpoint that a request is meant for.
 EXPECTED: typing.Final = "dykeswitch-expected"
+# Fields of a request that its response repeats.
 EXCHANGE: typing.Final = "dykeswitch-exchange"
 ASK: typing.Final = "x-ask"
-# By which a caller knows a whole reply: its status, its length and its sum.
+# Lets a client verify a whole response: its status, its length and its checksum.
 SEAL: typing.Final = "x-seal"
 LOAD: typing.Final = "dykeswitch-burden"
 EXPIRY: typing.Final = "dykeswitch-expiry-ms"
@@ -15,16 +16,16 @@
 
 
 def seal(status: int, data: bytes) -> str:
-    """By which a reply is known to be whole, and to be what the endpoint said."""
+    """Return the seal by which a client verifies that a response is whole and as the endpoint sent it."""
     return f"{status}.{len(data)}.{zlib.crc32(data):08x}"
 
 
-def fields(raw: typing.Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
-    """Header fields by their names; of two with one name the last."""
+def decode_fields(raw: typing.Iterable[tuple[bytes, bytes]]) -> dict[str, str]:
+    """Return header fields by name; of several with one name the last."""
     return {key.decode(): value.decode("latin-1") for key, value in raw}
 
 
-def left_s(headers: typing.Mapping[str, str]) -> float | None:
-    """For how many seconds a request may be worked on, if it says so."""
-    left = headers.get(EXPIRY, "")
-    return int(left) / 1000 if left.isdigit() else None
+def time_budget_s(headers: typing.Mapping[str, str]) -> float | None:
+    """Return how long a request may be worked on, or None if it doesn't say."""
+    budget_ms = headers.get(EXPIRY, "")
+    return int(budget_ms) / 1000 if budget_ms.isdigit() else None
--- a/packages/standin/src/dykeswitch/standin/host.py
+++ b/packages/standin/src/dykeswitch/standin/host.py
@@ -15,8 +15,11 @@
 
 
 async def serve(spec: dict[str, typing.Any]) -> None:
-    """Serve, beat, and leave politely on a signal; each run is a line in a file."""
-    # Opened once, before anything is served: nobody waits for it.
+    """Serve requests and send heartbeats; leave in order on SIGTERM.
+
+    Each request that arrives and each that is executed is written as a line to the file `spec["runs"]`.
+    """
+    # A blocking open is harmless here: it happens once, before anything is served.
     with pathlib.Path(spec["runs"]).open("a", buffering=1) as log:  # noqa: ASYNC230
 
         def on_execution(endpoint: endpoints.Endpoint, method: str, target: str, body: bytes) -> None:
@@ -41,11 +44,11 @@
         endpoint.plan.fault = spec.get("fault", "none")
         endpoint.plan.share = spec.get("share", 1.0)
         await endpoint.open()
-        told = asyncio.Event()
-        asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, told.set)
-        beats = asyncio.create_task(endpoint.send_heartbeats())
-        await told.wait()
-        beats.cancel()
+        terminated = asyncio.Event()
+        asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, terminated.set)
+        heartbeats = asyncio.create_task(endpoint.send_heartbeats())
+        await terminated.wait()
+        heartbeats.cancel()
         if await endpoint.leave():
             log.write(json.dumps(["left", time.monotonic(), ""]) + "\n")
         await asyncio.sleep(3.0)
--- a/packages/standin/src/dykeswitch/standin/light_web.py
+++ b/packages/standin/src/dykeswitch/standin/light_web.py
@@ -1,4 +1,4 @@
-"""Web calls over kept connections, cheap enough for callers that are not to be measured."""
+"""HTTP calls over kept connections, for clients whose own cost must stay small."""
 
 import asyncio
 import math
@@ -9,15 +9,15 @@
 
 
 class LightWeb(real.RealWeb):
-    """Calls over a few kept pipes: the callers must not be what is measured."""
+    """Calls over a few kept connections, so that the cost of the clients doesn't distort measurements."""
 
     def __init__(self, net: ports.Network) -> None:
         super().__init__()
         self._net = net
         self._idle: dict[str, list[connections.EndpointConnection]] = {}
-        # For how long a connection may rest and be used again, in seconds; and whether the one that
-        # rested longest is used first.
-        self.rest_most_s = math.inf
+        # A connection that was idle for longer isn't used again.
+        self.max_idle_s = math.inf
+        # Whether the connection that was idle the longest is used first.
         self.oldest_first = False
 
     async def request(
@@ -29,12 +29,12 @@
         body: bytes,
         timeout_s: float,
     ) -> ports.Response:
-        """One call, over a kept connection where there is one."""
+        """Send one request, over a kept connection if there is one."""
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._request(method, address, path, headers, body, timeout_s)
-        except connections.EndpointConnectionError as flaw:
-            raise OSError(flaw.reason) from flaw
+        except connections.EndpointConnectionError as error:
+            raise OSError(error.reason) from error
 
     async def _request(
         self, method: str, address: str, path: str, headers: ports.Fields, body: bytes, timeout_s: float
@@ -43,11 +43,11 @@
         connection: connections.EndpointConnection | None = None
         now = asyncio.get_running_loop().time()
         while idle and connection is None:
-            held = idle.pop(0) if self.oldest_first else idle.pop()
-            if held.usable() and now - held.used <= self.rest_most_s:
-                connection = held
+            candidate = idle.pop(0) if self.oldest_first else idle.pop()
+            if candidate.usable() and now - candidate.used <= self.max_idle_s:
+                connection = candidate
             else:
-                held.close()
+                candidate.close()
         if connection is None:
             raw_connection = await self._net.connect(ports.address_of(address), timeout_s)
             connection = connections.EndpointConnection("", address, raw_connection, 0.0)
@@ -65,5 +65,5 @@
         if connection.usable():
             connection.used = asyncio.get_running_loop().time()
             idle.append(connection)
-        found = [(k.decode("latin-1").lower(), v.decode("latin-1")) for k, v in head.headers]
-        return ports.Response(head.status, found, data)
+        response_headers = [(k.decode("latin-1").lower(), v.decode("latin-1")) for k, v in head.headers]
+        return ports.Response(head.status, response_headers, data)
--- a/packages/standin/src/dykeswitch/standin/port_block.py
+++ b/packages/standin/src/dykeswitch/standin/port_block.py
@@ -1,43 +1,47 @@
-"""Ports that one fleet has for itself while it lives, on a machine where several may run."""
+"""Blocks of ports, so that several fleets may run on one machine without taking each other's ports."""
 
 import socket
 import typing
 
 HOST: typing.Final = "127.0.0.1"
-# Below the ports that systems give to outgoing connections: nobody takes one of these by chance.
+# Below the range from which systems choose ports for outgoing connections, so that none is taken by chance.
 FIRST_PORT: typing.Final = 10_000
 LAST_PORT: typing.Final = 32_000
 BLOCK_SIZE: typing.Final = 1_000
 
 
 class NoPortsError(OSError):
-    """Every block is taken, or the one at hand is used up."""
+    """Every block is taken, or the current one is used up."""
 
 
 class PortBlock:
-    """A block of ports, its own for as long as it holds the first of them."""
+    """A block of ports, reserved for as long as its first port stays bound."""
 
     def __init__(self) -> None:
-        self._holder, self._first = _hold_a_block()
+        self._reservation, self._first = _reserve_block()
         self._next = self._first + 1
 
     def address(self) -> str:
-        """The next address that nobody listens at."""
+        """Return the next address at which nobody listens.
+
+        Raises:
+            NoPortsError: If the block is used up.
+        """
         while self._next < self._first + BLOCK_SIZE:
             port, self._next = self._next, self._next + 1
             try:
-                _bound(port).close()
+                _bind(port).close()
             except OSError:
                 continue
             return f"{HOST}:{port}"
-        raise NoPortsError("a block of ports is used up")
+        raise NoPortsError("the block of ports is used up")
 
     def close(self) -> None:
-        """Let others have the block."""
-        self._holder.close()
+        """Release the block for others."""
+        self._reservation.close()
 
 
-def _bound(port: int) -> socket.socket:
+def _bind(port: int) -> socket.socket:
     sock = socket.socket()
     try:
         sock.bind((HOST, port))
@@ -47,11 +51,11 @@
     return sock
 
 
-def _hold_a_block() -> tuple[socket.socket, int]:
-    """The first port of a free block, bound, and its number."""
+def _reserve_block() -> tuple[socket.socket, int]:
+    """Bind the first port of a free block; return its socket and its number."""
     for first in range(FIRST_PORT, LAST_PORT - BLOCK_SIZE + 1, BLOCK_SIZE):
         try:
-            return _bound(first), first
+            return _bind(first), first
         except OSError:
             continue
     raise NoPortsError("every block of ports is taken")
--- a/packages/standin/src/dykeswitch/standin/process.py
+++ b/packages/standin/src/dykeswitch/standin/process.py
@@ -8,25 +8,25 @@
 import sys
 import typing
 
-# What a program's log says once it serves.
+# What the log of a program contains once it serves.
 STARTED: typing.Final = b'"event": "started"'
 # Signals that end a program, sooner or later.
-ENDING: typing.Final = (signal.SIGTERM, signal.SIGINT, signal.SIGKILL)
+END_SIGNALS: typing.Final = (signal.SIGTERM, signal.SIGINT, signal.SIGKILL)
 
 
 class Process:
-    """One program running as a process of its own."""
+    """One program as a process of its own."""
 
-    def __init__(self, word: str, name: str, flags: dict[str, str], folder: pathlib.Path) -> None:
-        self.word = word
+    def __init__(self, command: str, name: str, flags: dict[str, str], folder: pathlib.Path) -> None:
+        self.command = command
         self.name = name
         self.flags = flags
         self._folder = folder
         self._run: subprocess.Popen[bytes] | None = None
-        # Whether it was sent a signal that ends it since it was started last.
-        self.told_to_end = False
-        # Where in its log its present life begins.
-        self._log_begins = 0
+        # Whether it was sent a signal that ends it since its last start.
+        self.end_requested = False
+        # Where the output since its last start begins in its log.
+        self._log_offset = 0
 
     @property
     def web(self) -> str:
@@ -35,46 +35,46 @@
 
     @property
     def pid(self) -> int:
-        """The id of the process that was started last."""
+        """The process id of its last start."""
         assert self._run is not None
         return self._run.pid
 
     @property
     def log(self) -> pathlib.Path:
-        """The file that takes its output."""
+        """The file that its output goes to."""
         return self._folder / f"{self.name}.log"
 
     def _args(self) -> list[str]:
-        args = [sys.executable, "-m", "dykeswitch.cli.main", self.word]
+        args = [sys.executable, "-m", "dykeswitch.cli.main", self.command]
         for key, text in self.flags.items():
             args += ["--" + key.replace("_", "-"), text]
         return args
 
     def start(self) -> None:
-        """Start it; its output is added to its log."""
+        """Start it; its output is appended to its log."""
         args = self._args()
-        self.told_to_end = False
-        self._log_begins = self.log.stat().st_size if self.log.exists() else 0
+        self.end_requested = False
+        self._log_offset = self.log.stat().st_size if self.log.exists() else 0
         with self.log.open("ab") as out:
             self._run = subprocess.Popen(args, stdout=out, stderr=out, stdin=subprocess.DEVNULL)
 
-    def tell(self, sign: int) -> None:
+    def send_signal(self, number: int) -> None:
         """Send it a signal, if it runs."""
         if self._run is not None and self._run.poll() is None:
-            self.told_to_end = self.told_to_end or sign in ENDING
-            self._run.send_signal(sign)
+            self.end_requested = self.end_requested or number in END_SIGNALS
+            self._run.send_signal(number)
 
     def is_up(self) -> bool:
-        """Whether it has said, since it was started last, that it serves."""
+        """Whether it has logged since its last start that it serves."""
         if not self.log.exists():
             return False
         with self.log.open("rb") as log:
-            log.seek(self._log_begins)
+            log.seek(self._log_offset)
             return any(STARTED in line for line in log)
 
     @property
-    def code(self) -> int | None:
-        """With what it ended, if it was started and has."""
+    def exit_code(self) -> int | None:
+        """Its exit code, if it was started and has ended."""
         return None if self._run is None else self._run.poll()
 
     @property
@@ -86,12 +86,12 @@
         """Whether it runs."""
         return self._run is not None and self._run.poll() is None
 
-    async def gone(self, wait: float) -> int | None:
-        """Wait for the end; its exit code."""
+    async def wait_exit(self, timeout_s: float) -> int | None:
+        """Wait for its end; return its exit code, or None if it still runs after the timeout."""
         assert self._run is not None
         run = self._run
         try:
-            return await asyncio.to_thread(run.wait, wait)
+            return await asyncio.to_thread(run.wait, timeout_s)
         except subprocess.TimeoutExpired:
             return None
 
@@ -107,10 +107,10 @@
         return [sys.executable, "-m", "dykeswitch.standin.host", json.dumps(self.spec)]
 
     def lines(self) -> list[tuple[str, float, str]]:
-        """What it wrote down: hits, runs, and when its leaving was heard."""
+        """Return what it logged: arrivals, executions, and when its leaving was accepted."""
         path = pathlib.Path(self.spec["runs"])
         if not path.exists():
             return []
-        # A killed process may leave half a line.
-        whole = path.read_text().rpartition("\n")[0]
-        return [tuple(json.loads(line)) for line in whole.splitlines()]
+        # A killed process may leave an incomplete last line.
+        complete = path.read_text().rpartition("\n")[0]
+        return [tuple(json.loads(line)) for line in complete.splitlines()]
--- a/packages/standin/src/dykeswitch/standin/record.py
+++ b/packages/standin/src/dykeswitch/standin/record.py
@@ -1,4 +1,4 @@
-"""What callers asked for and what came of it: the history of a run, and its figures."""
+"""The history of a run: the requests of clients and what became of them, and the figures of it."""
 
 import collections
 import dataclasses
@@ -11,7 +11,32 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """One request of a caller, and what came of it."""
+    """One request of a client, and what became of it.
+
+    Attributes:
+        name: The id of the request.
+        service: The service that it is meant for; empty for a route check.
+        writing: Whether it changes something.
+        started_at: When it was made.
+        address: The proxy it was sent to; empty if none was ready.
+        ended_at: When its response was in, or when it failed.
+        status: The status of the response; 0 without one.
+        result: The proxy's result code; 0 without one.
+        retry_after: Whether the response has a `Retry-After`.
+        error: Why there is no response.
+        mismatch: What is wrong with the response.
+        reused_connection: Whether it went over a kept connection, whose proxy need not be ready any more.
+        method: The method of a route check, by which rules choose.
+        host: The host of a route check.
+        path: The path of a route check.
+        content: What was requested, as an endpoint should receive it.
+        expiry_s: The client's own time limit; 0 if it has none.
+        retry_after_s: After how long the client was told to try again.
+        trusts_refusal: Whether its client takes a refusal's status as a promise, and tries again by it.
+        promised: Whether the response carries an endpoint's promise not to have run it.
+        foreign_id: Which other request the response belongs to, if it does.
+        left_at: When its client left without waiting for the response, if it did.
+    """
 
     name: str
     service: str
@@ -24,30 +49,22 @@
     retry_after: bool = False
     error: str = ""
     mismatch: str = ""
-    # Whether it went over a pipe that was kept, whatever the platform says by now.
     reused_connection: bool = False
-    # What a layout's rules tell apart, for those that rules move about.
     method: str = ""
     host: str = ""
     path: str = ""
-    # What was asked for, as an endpoint should see it.
     content: str = ""
-    # The caller's own expiry, where it has one; and after how many seconds it was to come again.
     expiry_s: float = 0.0
     retry_after_s: float = 0.0
-    # Whether its caller takes a refusal's status for a promise, and asks anew by it.
     trusts_refusal: bool = False
-    # Whether the answer carried an endpoint's promise not to have run it.
     promised: bool = False
-    # Whom the answer says it is for, if not this one.
     foreign_id: str = ""
-    # When its caller left without waiting for the answer, if it did.
     left_at: float | None = None
 
 
 @dataclasses.dataclass(slots=True)
 class Execution:
-    """One run of a request at an endpoint."""
+    """One execution of a request at an endpoint, or the start of one."""
 
     request_id: str
     endpoint: str
@@ -59,7 +76,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Operation:
-    """What a caller wants, over all the requests that it makes for it."""
+    """One operation that a client wants done, over all the requests that it sends for it."""
 
     service: str
     writing: bool
@@ -69,37 +86,37 @@
 
     @property
     def succeeded(self) -> bool:
-        """Whether the last request for it brought a good reply."""
+        """Whether its last request got a valid response."""
         return bool(self.requests) and self.requests[-1].status == 200 and not self.requests[-1].mismatch
 
 
 def content_of(method: str, target: str, body: bytes) -> str:
-    """What a request asks for, in a few words that tell any change on its way."""
+    """Return what a request asks for, short, so that any change on its way shows."""
     return f"{method} {target} {len(body)}.{zlib.crc32(body):08x}"
 
 
 class TrafficRecord:
-    """The history of a run: asks of callers and runs at endpoints."""
+    """The history of a run: requests of clients and executions at endpoints."""
 
     def __init__(self, clock: ports.Clock) -> None:
         self._clock = clock
         self.requests: dict[str, Request] = {}
-        # Requests that each layout sends elsewhere.
+        # Requests that each layout routes to another service.
         self.route_checks: dict[str, Request] = {}
         self.executions: dict[str, list[Execution]] = collections.defaultdict(list)
-        # When work began: also such as was cut off by its endpoint's end.
+        # Starts of work, including work that the end of its endpoint cut off.
         self.execution_starts: dict[str, list[Execution]] = collections.defaultdict(list)
         self.operations: list[Operation] = []
 
     def record_execution(self, endpoint: endpoints.Endpoint, method: str, target: str, body: bytes) -> None:
-        """Note that an endpoint has done a request's work."""
-        self._note(self.executions, endpoint, method, target, body)
+        """Record that an endpoint has executed a request."""
+        self._add(self.executions, endpoint, method, target, body)
 
     def record_start(self, endpoint: endpoints.Endpoint, method: str, target: str, body: bytes) -> None:
-        """Note that an endpoint has begun a request's work."""
-        self._note(self.execution_starts, endpoint, method, target, body)
+        """Record that an endpoint has begun to execute a request."""
+        self._add(self.execution_starts, endpoint, method, target, body)
 
-    def _note(
+    def _add(
         self,
         table: dict[str, list[Execution]],
         endpoint: endpoints.Endpoint,
@@ -107,37 +124,41 @@
         target: str,
         body: bytes,
     ) -> None:
-        name = request_id_in(target)
+        request_id = request_id_in(target)
         content = content_of(method, target, body)
-        table[name].append(Execution(name, endpoint.name, endpoint.service, self._clock.now(), content))
+        table[request_id].append(
+            Execution(request_id, endpoint.name, endpoint.service, self._clock.now(), content)
+        )
 
 
 def request_id_in(target: str) -> str:
-    """The id of a request, out of what it asks for."""
+    """Return the id of a request from its target."""
     return target.partition("ask=")[2].partition("&")[0]
 
 
 def summarize(record: TrafficRecord, expiry_s: float) -> dict[str, typing.Any]:
-    """The figures the fleet and the trials print."""
+    """Return the figures of a run that the fleet and the trials print."""
     requests = list(record.requests.values())
-    took = sorted(a.ended_at - a.started_at for a in requests if a.status == 200)
+    durations_s = sorted(r.ended_at - r.started_at for r in requests if r.status == 200)
     executions = record.executions
-    told_not = {a.name for a in requests if a.status == 503 and a.retry_after}
-    by_result = collections.Counter(a.result for a in requests if a.result)
+    told_not_run = {r.name for r in requests if r.status == 503 and r.retry_after}
+    by_result = collections.Counter(r.result for r in requests if r.result)
     return {
         "asked": len(requests),
-        "replied": sum(1 for a in requests if a.status == 200 and not a.mismatch),
-        "turned_away": sum(1 for a in requests if a.result in (102, 103, 104, 111, 112, 114, 116)),
-        "unknown": sum(1 for a in requests if a.result in (108, 109, 110, 113)),
-        "other_status": sum(1 for a in requests if a.status not in (0, 200) and not a.result),
-        "no_reply": sum(1 for a in requests if a.error),
-        "left": sum(1 for a in requests if a.left_at is not None),
-        "run_twice": sum(1 for a in requests if a.writing and len(executions.get(a.name, ())) > 1),
-        "told_not_but_ran": sum(1 for name in told_not if executions.get(name)),
-        "late": sum(1 for a in requests if a.ended_at - a.started_at > (a.expiry_s or expiry_s) + 0.5),
-        "wrong_reply": sum(1 for a in requests if a.mismatch),
-        "wrong_owner": sum(1 for a in requests for r in executions.get(a.name, ()) if r.service != a.service),
+        "replied": sum(1 for r in requests if r.status == 200 and not r.mismatch),
+        "turned_away": sum(1 for r in requests if r.result in (102, 103, 104, 111, 112, 114, 116)),
+        "unknown": sum(1 for r in requests if r.result in (108, 109, 110, 113)),
+        "other_status": sum(1 for r in requests if r.status not in (0, 200) and not r.result),
+        "no_reply": sum(1 for r in requests if r.error),
+        "left": sum(1 for r in requests if r.left_at is not None),
+        "run_twice": sum(1 for r in requests if r.writing and len(executions.get(r.name, ())) > 1),
+        "told_not_but_ran": sum(1 for name in told_not_run if executions.get(name)),
+        "late": sum(1 for r in requests if r.ended_at - r.started_at > (r.expiry_s or expiry_s) + 0.5),
+        "wrong_reply": sum(1 for r in requests if r.mismatch),
+        "wrong_owner": sum(
+            1 for r in requests for one in executions.get(r.name, ()) if one.service != r.service
+        ),
         "results": {str(k): v for k, v in sorted(by_result.items())},
-        "p50_ms": round(1000 * took[len(took) // 2], 1) if took else None,
-        "p99_ms": round(1000 * took[len(took) * 99 // 100], 1) if took else None,
+        "p50_ms": round(1000 * durations_s[len(durations_s) // 2], 1) if durations_s else None,
+        "p99_ms": round(1000 * durations_s[len(durations_s) * 99 // 100], 1) if durations_s else None,
     }
--- a/packages/standin/src/dykeswitch/standin/replies.py
+++ b/packages/standin/src/dykeswitch/standin/replies.py
@@ -1,4 +1,4 @@
-"""What a caller makes of a reply: whether it is sound, and whether to ask again."""
+"""How a client judges a response: whether it is valid, and whether to try again."""
 
 import json
 import typing
@@ -7,13 +7,14 @@
 import dykeswitch.standin.headers as headers
 from dykeswitch.standin.record import Request
 
-# Answers that promise that a request has not run and never will; and such as no further try mends.
+# Statuses that promise that a request has not run and never will.
 PROMISES: typing.Final = (408, 421, 429, 503)
+# Statuses that no further attempt can change.
 FINAL: typing.Final = (400, 401, 404, 413, 431)
 
 
 def should_retry(request: Request) -> bool:
-    """Whether a caller asks anew: a write only where it has a promise that the first did not run."""
+    """Whether a client tries again: a write only if it was promised that the first did not run."""
     if request.left_at is not None:
         return False
     if request.status in FINAL or (200 <= request.status < 300 and not request.mismatch):
@@ -23,47 +24,47 @@
     return request.status in PROMISES or request.error.startswith("ConnectionRefused")
 
 
-def seconds(text: str | None) -> float:
-    """A `Retry-After` in seconds; none where there is none or it says something else."""
+def parse_retry_after(text: str | None) -> float:
+    """Return a `Retry-After` in seconds; 0 if it is missing or not a number."""
     try:
         return max(0.0, float(text or 0.0))
     except ValueError:
         return 0.0
 
 
-def foreign(reply: ports.Response, name: str) -> str:
-    """What shows that a reply belongs to another request; empty if nothing does."""
-    echo = reply.header(headers.ASK)
+def foreign_id(response: ports.Response, name: str) -> str:
+    """Return what shows that a response belongs to another request; empty if nothing does."""
+    echo = response.header(headers.ASK)
     if echo is not None and echo != name:
         return f"echoes {echo}"
-    # Ours and the endpoint's: two that differ are of two exchanges.
-    exchanges = {text for key, text in reply.headers if key.lower() == headers.EXCHANGE}
+    # The proxy and the endpoint each send the field: if they differ, they belong to two exchanges.
+    exchanges = {text for key, text in response.headers if key.lower() == headers.EXCHANGE}
     return f"of exchanges {sorted(exchanges)}" if len(exchanges) > 1 else ""
 
 
-def seal_error(reply: ports.Response) -> str:
-    """What is wrong with a reply by its endpoint's seal, whatever its status."""
-    if reply.header("dykeswitch-result") is not None:
+def seal_error(response: ports.Response) -> str:
+    """Return what is wrong with a response by its endpoint's seal, whatever its status."""
+    if response.header("dykeswitch-result") is not None:
         return ""
-    told = reply.header(headers.SEAL)
-    if told is None:
-        return "without a seal" if 200 <= reply.status < 300 else ""
-    return "" if told == headers.seal(reply.status, reply.body) else "not as it was sealed"
+    sealed = response.header(headers.SEAL)
+    if sealed is None:
+        return "without a seal" if 200 <= response.status < 300 else ""
+    return "" if sealed == headers.seal(response.status, response.body) else "does not match its seal"
 
 
-def body_error(reply: ports.Response, name: str, service: str) -> str:
-    """What is wrong with an answer that looks good."""
+def body_error(response: ports.Response, name: str, service: str) -> str:
+    """Return what is wrong with the body of a response that looks successful."""
     try:
-        page = json.loads(reply.body)
+        page = json.loads(response.body)
     except ValueError:
-        return "cut or garbled"
+        return "body truncated or garbled"
     if page.get("echo") != name:
-        return "someone else's"
+        return "answers another request"
     if page.get("service") != service:
-        return "of another service"
+        return "comes from another service"
     return ""
 
 
-def promised(reply: ports.Response) -> bool:
-    """Whether a reply bears an endpoint's promise that the request did not run."""
-    return headers.NOT_RUN in reply.headers
+def promises_not_run(response: ports.Response) -> bool:
+    """Whether a response carries an endpoint's promise that the request did not run."""
+    return headers.NOT_RUN in response.headers
--- a/packages/standin/src/dykeswitch/standin/shape.py
+++ b/packages/standin/src/dykeswitch/standin/shape.py
@@ -1,4 +1,4 @@
-"""Shapes of fleets: the two that the brief names, and two by which selection is judged."""
+"""Shapes of fleets: those of the requirements, a small one, and two to judge endpoint selection by."""
 
 import dataclasses
 import typing
@@ -8,7 +8,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceShape:
-    """One service: its endpoints, its rate, its rule."""
+    """One service: its endpoints, its rate, its rule.
+
+    Attributes:
+        name: The name of the service.
+        endpoints: How many endpoints it has.
+        rate: Requests per second.
+        path: The path prefix of its rule.
+        method: The method of its requests.
+        work_s: How long an endpoint works on one request on average, at pace 1.
+        profile: What its endpoints are like, each with a pace of its own; None for plain ones.
+        aim_s: Within which time a response is worth most.
+        expiry_s: The time limit of its clients; 0 for the fleet's own.
+    """
 
     name: str
     endpoints: int
@@ -16,19 +28,17 @@
     path: str
     method: str
     work_s: float
-    # What its endpoints are like, each with a pace of its own; none: plain ones.
     profile: profiles.EndpointProfile | None = None
-    # Within which time an answer is worth most, and a caller's expiry; none: the fleet's own.
     aim_s: float = 0.0
     expiry_s: float = 0.0
 
     @property
     def load(self) -> float:
-        """The part of its slots that is at work in the mean; 0 where it has no bound."""
+        """The share of its slots in use on average; 0 if they are not limited."""
         if self.profile is None or not self.profile.slots:
             return 0.0
-        pace = sum(profiles.PACES) / 2
-        return self.rate * self.work_s * pace / (self.endpoints * self.profile.slots)
+        mean_pace = sum(profiles.PACE_RANGE) / 2
+        return self.rate * self.work_s * mean_pace / (self.endpoints * self.profile.slots)
 
     @property
     def writing(self) -> bool:
@@ -38,49 +48,57 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Shape:
-    """A fleet: proxies, cores, zones, services."""
+    """A fleet: proxies, cores, zones, services.
+
+    Attributes:
+        name: The name of the shape.
+        proxies: How many proxies it has.
+        cores: How many cores it has, each a registry with its store.
+        zones: The zones over which all are spread.
+        services: Its services.
+        far_s: How much longer a message takes between two zones, one way.
+        idle_s: How long connections of clients may be idle, for its layout to say; None to leave it out.
+    """
 
     name: str
     proxies: int
     cores: int
     zones: tuple[str, ...]
     services: tuple[ServiceShape, ...]
-    # How much longer it takes between two zones, one way.
     far_s: float = 0.0
-    # For how long callers' connections may rest, where its layout says so.
     idle_s: float | None = None
 
-    def scaled_down(self, part: float) -> "Shape":
-        """A part of the fleet at the same load: fewer proxies, endpoints and requests."""
+    def scaled_down(self, factor: float) -> "Shape":
+        """Return a smaller fleet at the same load: fewer proxies, endpoints and requests."""
 
-        def few(many: int, least: int) -> int:
-            return max(least, round(many * part))
+        def scaled(count: int, minimum: int) -> int:
+            return max(minimum, round(count * factor))
 
         services = []
         for s in self.services:
-            endpoints = few(s.endpoints, 2)
+            endpoints = scaled(s.endpoints, 2)
             services.append(
                 dataclasses.replace(s, endpoints=endpoints, rate=s.rate * endpoints / s.endpoints)
             )
-        proxies = few(self.proxies, 1)
+        proxies = scaled(self.proxies, 1)
         return dataclasses.replace(self, proxies=proxies, services=tuple(services))
 
-    def slowed_down(self, by: float) -> "Shape":
-        """The whole fleet at the same load with fewer requests, each of which takes longer."""
+    def slowed_down(self, factor: float) -> "Shape":
+        """Return the whole fleet at the same load with fewer requests, each of which takes longer."""
         services = tuple(
             dataclasses.replace(
                 s,
-                rate=s.rate / by,
-                work_s=s.work_s * by,
-                aim_s=s.aim_s * by,
-                expiry_s=s.expiry_s * by,
+                rate=s.rate / factor,
+                work_s=s.work_s * factor,
+                aim_s=s.aim_s * factor,
+                expiry_s=s.expiry_s * factor,
             )
             for s in self.services
         )
         return dataclasses.replace(self, services=services)
 
     def layout(self) -> dict[str, typing.Any]:
-        """The layout an operator would send for it."""
+        """Return the layout that an operator would send for it."""
         return {
             **({"bounds": {"idle_s": self.idle_s}} if self.idle_s is not None else {}),
             "services": {s.name: {"probe": "/healthz", "expiry_s": 10} for s in self.services},
@@ -98,13 +116,15 @@
 
     @property
     def rate(self) -> float:
-        """Requests a second of all services."""
+        """Requests per second of all services."""
         return sum(s.rate for s in self.services)
 
 
-# Services that rules move requests between, so that who was reached tells the layout.
-SLOTS: typing.Final = tuple(ServiceShape(f"slot{n}", 1, 0, f"/slot{n}", "GET", 0.005) for n in range(5))
-# Requests of all the kinds that such rules tell apart: method, host, path.
+# Services between which rules move requests: the one that was reached shows which layout was in force.
+ROUTE_CHECK_SERVICES: typing.Final = tuple(
+    ServiceShape(f"slot{n}", 1, 0, f"/slot{n}", "GET", 0.005) for n in range(5)
+)
+# Requests of every kind that such rules distinguish: method, host, path.
 ROUTE_CHECKS: typing.Final = (
     ("GET", "", "/rove"),
     ("OPTIONS", "", "/rove"),
@@ -114,17 +134,21 @@
 
 
 def rotating_layout(doc: dict[str, typing.Any], turn: int) -> dict[str, typing.Any]:
-    """The same layout with rules that send some requests elsewhere with each turn."""
-    services = {s.name: {"probe": "/healthz", "expiry_s": 10} for s in SLOTS[:4]}
-    rules: list[dict[str, typing.Any]] = [{"path": "/rove", "service": SLOTS[turn % 4].name}]
-    # Rules by method and by host come and go, and so does a whole service.
+    """Return the layout with rules added that route some requests to another service with each turn."""
+    services = {s.name: {"probe": "/healthz", "expiry_s": 10} for s in ROUTE_CHECK_SERVICES[:4]}
+    rules: list[dict[str, typing.Any]] = [{"path": "/rove", "service": ROUTE_CHECK_SERVICES[turn % 4].name}]
+    # Rules by method and by host are there at some turns only, and so is a whole service.
     if turn % 3:
-        rules.append({"path": "/rove", "methods": ["OPTIONS"], "service": SLOTS[(turn + 1) % 4].name})
+        rules.append(
+            {"path": "/rove", "methods": ["OPTIONS"], "service": ROUTE_CHECK_SERVICES[(turn + 1) % 4].name}
+        )
     if turn % 2:
-        rules.append({"path": "/rove", "host": "rove.test", "service": SLOTS[(turn + 2) % 4].name})
+        rules.append(
+            {"path": "/rove", "host": "rove.test", "service": ROUTE_CHECK_SERVICES[(turn + 2) % 4].name}
+        )
     if turn % 4 < 2:
-        services[SLOTS[4].name] = {"probe": "/healthz", "expiry_s": 10}
-        rules.append({"path": "/rove/extra", "service": SLOTS[4].name})
+        services[ROUTE_CHECK_SERVICES[4].name] = {"probe": "/healthz", "expiry_s": 10}
+        rules.append({"path": "/rove/extra", "service": ROUTE_CHECK_SERVICES[4].name})
     return {**doc, "services": {**doc["services"], **services}, "rules": [*doc["rules"], *rules]}
 
 
@@ -152,7 +176,7 @@
         ServiceShape("reports", 9, 40, "/reports", "GET", 0.05),
     ),
 )
-# Small, for failures that need no large fleet to show.
+# Small, for failures that show without a large fleet.
 BROOK: typing.Final = Shape(
     "brook",
     4,
@@ -163,9 +187,9 @@
         ServiceShape("orders", 7, 90, "/orders", "POST", 0.05),
     ),
 )
-# Endpoints as they are in earnest: two slots each and a short queue, unequal in speed,
-# work that spreads, slower when pressed and just after their start, telling their burden.
-EARNEST: typing.Final = profiles.EndpointProfile(
+# Realistic endpoints: two slots each and a short queue, unequal in speed, work of varying length,
+# slower under load and just after their start; they report their load.
+REALISTIC: typing.Final = profiles.EndpointProfile(
     slots=2,
     queue=4,
     press=1.3,
@@ -188,25 +212,25 @@
     3,
     ZONES,
     (
-        ServiceShape("sheets", 15, 250, "/sheets", "GET", 0.06, EARNEST, 0.2, 0.8),
-        ServiceShape("prints", 9, 115, "/prints", "POST", 0.08, EARNEST, 0.26, 1.0),
-        ServiceShape("covers", 11, 78, "/covers", "GET", 0.15, EARNEST, 0.45, 1.6),
+        ServiceShape("sheets", 15, 250, "/sheets", "GET", 0.06, REALISTIC, 0.2, 0.8),
+        ServiceShape("prints", 9, 115, "/prints", "POST", 0.08, REALISTIC, 0.26, 1.0),
+        ServiceShape("covers", 11, 78, "/covers", "GET", 0.15, REALISTIC, 0.45, 1.6),
     ),
     0.0006,
 )
-# Many proxies before many endpoints: each proxy sees little of each endpoint.
+# Many proxies and many endpoints: each proxy sends few requests to each endpoint.
 ESTUARY: typing.Final = Shape(
     "estuary",
     90,
     5,
     ("z1", "z2", "z3", "z4", "z5", "z6"),
     (
-        ServiceShape("maps", 54, 620, "/maps", "GET", 0.09, EARNEST, 0.3, 1.2),
-        ServiceShape("bookings", 32, 270, "/bookings", "POST", 0.12, EARNEST, 0.4, 1.6),
-        ServiceShape("tides", 44, 230, "/tides", "GET", 0.2, EARNEST, 0.6, 2.4),
+        ServiceShape("maps", 54, 620, "/maps", "GET", 0.09, REALISTIC, 0.3, 1.2),
+        ServiceShape("bookings", 32, 270, "/bookings", "POST", 0.12, REALISTIC, 0.4, 1.6),
+        ServiceShape("tides", 44, 230, "/tides", "GET", 0.2, REALISTIC, 0.6, 2.4),
     ),
     0.001,
 )
-# By which selection is judged: unequal endpoints, somewhat over half at work.
+# To judge endpoint selection by: unequal endpoints, with somewhat over half of the slots in use.
 UNEQUAL: typing.Final = {"delta": DELTA, "estuary": ESTUARY}
 SHAPES: typing.Final = {"ghent": GHENT, "lima": LIMA, "brook": BROOK, **UNEQUAL}
--- a/packages/standin/src/dykeswitch/standin/slots.py
+++ b/packages/standin/src/dykeswitch/standin/slots.py
@@ -1,4 +1,4 @@
-"""Slots and queue: so many requests at work at once, so many more that wait in turn."""
+"""Work slots and queue of an endpoint: limits on requests at work and on requests that wait."""
 
 import asyncio
 import collections
@@ -7,7 +7,7 @@
 
 
 class Slots:
-    """Hands out tickets: one that is done stands for a slot, any other for a place in the queue."""
+    """Hands out tickets: a completed one stands for a slot, any other for a place in the queue."""
 
     def __init__(self, slots: int | None = None, queue: int = 0) -> None:
         self._slots = slots
@@ -17,49 +17,49 @@
 
     @property
     def waiting(self) -> int:
-        """How many wait for a slot."""
+        """How many requests wait for a slot."""
         return len(self._waiting)
 
     @property
     def free(self) -> bool:
-        """Whether one more could run at once."""
+        """Whether one more request could run at once."""
         return self._slots is None or self.running < self._slots
 
     @property
     def full(self) -> bool:
-        """Whether one more could neither run nor wait."""
+        """Whether one more request could neither run nor wait."""
         return not self.free and len(self._waiting) >= self._queue
 
     def resize(self, slots: int | None, queue: int) -> None:
-        """Another number of slots from now on; what is at work or waits stays."""
+        """Change the limits; requests that run or wait keep their places."""
         self._slots, self._queue = slots, queue
-        self._fill()
+        self._grant_free()
 
-    def ticket(self) -> Ticket:
-        """A place for one more, which the caller gives back by `drop`."""
+    def enqueue(self) -> Ticket:
+        """Return a ticket for one more request; the caller gives it back with `release`."""
         ticket: Ticket = asyncio.get_running_loop().create_future()
         self._waiting.append(ticket)
-        self._fill()
+        self._grant_free()
         return ticket
 
-    def drop(self, ticket: Ticket) -> None:
-        """Give a place back, whether in the queue or at work."""
+    def release(self, ticket: Ticket) -> None:
+        """Give a ticket back, whether its request still waits or has a slot."""
         if ticket in self._waiting:
             self._waiting.remove(ticket)
             return
         self.running -= 1
-        self._fill()
+        self._grant_free()
 
-    def hold(self) -> None:
-        """Take a slot out of turn, over their number if need be; `let_go` gives it back."""
+    def force_acquire(self) -> None:
+        """Take a slot ahead of the queue, beyond the limit if need be; `release_forced` gives it back."""
         self.running += 1
 
-    def let_go(self) -> None:
-        """Give back a slot taken by `hold`."""
+    def release_forced(self) -> None:
+        """Give back a slot taken by `force_acquire`."""
         self.running -= 1
-        self._fill()
+        self._grant_free()
 
-    def _fill(self) -> None:
+    def _grant_free(self) -> None:
         while self._waiting and self.free:
             self.running += 1
             self._waiting.popleft().set_result(None)
--- a/packages/standin/src/dykeswitch/standin/talk.py
+++ b/packages/standin/src/dykeswitch/standin/talk.py
@@ -1,4 +1,4 @@
-"""One pipe of an endpoint: requests in, replies out, and an eye on whether the caller is there."""
+"""The server side of one HTTP connection of an endpoint; it also notices when the client disconnects."""
 
 import asyncio
 import contextlib
@@ -12,57 +12,61 @@
 
 
 @typing.runtime_checkable
-class Abrupt(typing.Protocol):
-    """A pipe that can be ended so that its other end sees a reset."""
+class Resettable(typing.Protocol):
+    """A connection that can be ended so that its peer sees a reset."""
 
     def reset(self) -> None:
-        """End it so that the other end sees a reset."""
+        """End the connection so that the peer sees a reset."""
         ...
 
 
 def reset(connection: ports.Connection) -> None:
-    """End a pipe the hard way, where it knows one."""
-    if isinstance(connection, Abrupt):
+    """Reset a connection, or close it if it can't be reset."""
+    if isinstance(connection, Resettable):
         connection.reset()
     else:
         connection.close()
 
 
 class ForgottenError(Exception):
-    """Bytes came on a pipe that this end no longer knows of."""
+    """Bytes arrived on a connection whose state this end has dropped."""
 
 
-class Talk:
-    """Requests on one pipe, one at a time."""
+class Connection:
+    """Requests on one connection, one at a time."""
 
     def __init__(self, connection: ports.Connection, clock: ports.Clock) -> None:
         self.connection = connection
         self._clock = clock
         self._http = h11.Connection(h11.SERVER)
-        # What came while a request was at work.
-        self._held = b""
-        # Bytes that are sent in the place of the next reply, before it.
-        self.late = b""
+        # Bytes received while a request was being worked on.
+        self._received = b""
+        # Bytes to send just before the next response.
+        self.before_next = b""
 
-    async def request(
+    async def next_request(
         self, idle_s: float | None, forgets_s: float | None
     ) -> tuple[h11.Request, bytes] | None:
-        """The next request with its body; nothing once the caller left or was idle for too long."""
-        since = self._clock.now()
+        """Return the next request and its body, or None if the client left or was idle for too long.
+
+        Raises:
+            ForgottenError: If bytes arrive after the connection was idle for more than `forgets_s`.
+        """
+        idle_since = self._clock.now()
         request: h11.Request | None = None
         body: list[bytes] = []
-        quiet = True
+        idle = True
         while True:
             event = self._http.next_event()
             if event is h11.NEED_DATA:
                 try:
-                    async with asyncio.timeout(idle_s if quiet else None):
+                    async with asyncio.timeout(idle_s if idle else None):
                         part = await self._read()
                 except TimeoutError:
                     return None
-                if quiet and part and forgets_s is not None and self._clock.now() - since > forgets_s:
+                if idle and part and forgets_s is not None and self._clock.now() - idle_since > forgets_s:
                     raise ForgottenError
-                quiet = False
+                idle = False
                 self._http.receive_data(part)
             elif isinstance(event, h11.Request):
                 request = event
@@ -74,47 +78,47 @@
                 return None
 
     async def _read(self) -> bytes:
-        held, self._held = self._held, b""
-        return held or await self.connection.read(READ_SIZE)
+        received, self._received = self._received, b""
+        return received or await self.connection.read(READ_SIZE)
 
-    async def unless_gone(self, work: asyncio.Future[None], span: float | None) -> str:
-        """Wait for some work: "done", "late" after a span, or "gone" once the caller closed the pipe."""
-        watch = asyncio.ensure_future(self._gone())
+    async def wait_for(self, work: asyncio.Future[None], timeout_s: float | None) -> str:
+        """Wait for work: "done", "late" after the timeout, or "gone" if the client disconnects first."""
+        watch = asyncio.ensure_future(self._wait_disconnected())
         try:
-            await asyncio.wait([work, watch], timeout=span, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait([work, watch], timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED)
             if work.done():
                 return "done"
             return "gone" if watch.done() else "late"
         finally:
-            # Two may not read from one pipe at once: wait until the watch has let go.
+            # Two tasks may not read from one connection at once: wait until the watch has ended.
             watch.cancel()
             await asyncio.wait([watch])
 
-    async def _gone(self) -> None:
-        """Return once the other end is closed; what it sends meanwhile is kept for later."""
+    async def _wait_disconnected(self) -> None:
+        """Return once the client has closed; bytes it sends before are kept for the next request."""
         with contextlib.suppress(OSError):
             while part := await self.connection.read(READ_SIZE):
-                self._held += part
+                self._received += part
 
-    def whole(self, status: int, headers: list[tuple[str, str]], data: bytes) -> bytes:
-        """A whole reply as it goes over the wire; no data where the request was HEAD."""
+    def encode_response(self, status: int, headers: list[tuple[str, str]], data: bytes) -> bytes:
+        """Return the bytes of a whole response; pass no data where the request was HEAD."""
         out = self._http.send(h11.Response(status_code=status, headers=headers)) or b""
         if data:
             out += self._http.send(h11.Data(data=data)) or b""
         return out + (self._http.send(h11.EndOfMessage()) or b"")
 
     async def write(self, data: bytes) -> None:
-        """Send bytes, after those that were held back as late."""
-        late, self.late = self.late, b""
-        await self.connection.write(late + data)
+        """Send bytes, after those of `before_next`."""
+        before, self.before_next = self.before_next, b""
+        await self.connection.write(before + data)
 
-    def again(self) -> bool:
-        """Whether another request may come on this pipe."""
+    def next_cycle(self) -> bool:
+        """Get ready for another request; return whether the connection may carry one."""
         if self._http.states != {h11.CLIENT: h11.DONE, h11.SERVER: h11.DONE}:
             return False
         self._http.start_next_cycle()
         return True
 
-    async def mute(self) -> None:
-        """Say nothing more; return when the caller closes the pipe."""
-        await self._gone()
+    async def stay_silent(self) -> None:
+        """Send nothing more; return when the client closes the connection."""
+        await self._wait_disconnected()
--- a/tests/test_cut_off.py
+++ b/tests/test_cut_off.py
@@ -259,11 +259,11 @@
         core = fleet.cores[0]
         # One endpoint calls the registry that is to be cut off, for as long as it answers.
         for endpoint in fleet.endpoints.values():
-            endpoint.beating = False
+            endpoint.heartbeats_enabled = False
         await asyncio.sleep(2.5)
         for n, endpoint in enumerate(fleet.endpoints.values()):
             monkeypatch.setattr(endpoint._rng, "randrange", lambda most, n=n: n)
-            endpoint.beating = True
+            endpoint.heartbeats_enabled = True
             fleet.spawn(endpoint.send_heartbeats())
         await asyncio.sleep(4.0)
         _cut_off(fleet, core)
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -384,8 +384,8 @@
             return False
 
         for endpoint in fleet.endpoints.values():
-            whole = endpoint._act
-            endpoint._act = act  # type: ignore[assignment]
+            whole = endpoint._process
+            endpoint._process = act  # type: ignore[assignment]
         seen = set()
         for _ in range(250):
             said = _reply(rng)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -221,7 +221,7 @@
             await fleet.drain_endpoint(name, 0.1)
         assert (await _many(fleet, EXPORTS, 1))[0].status == 200
         turncoat = fleet.endpoints["exports-0"]
-        turncoat.beating = False
+        turncoat.heartbeats_enabled = False
         turncoat.name, turncoat.service = "others-0", "others"
         await asyncio.sleep(1.0)
         arrivals = turncoat.arrival_count
@@ -300,7 +300,7 @@
         }
         # Endpoints speak over pipes, as real ones do.
         machine = fleet.outside._replace(web=standins.LightWeb(fleet.outside.net))
-        base = await clients.direct(SMALL, machine, addresses, fleet.rng, 5.0)
+        base = await clients.run_direct_traffic(SMALL, machine, addresses, fleet.rng, 5.0)
         assert all(len(fleet.record.executions[a.name]) == 1 for a in base.requests.values())
         await fleet.clients.run_traffic(5.0)
         await _many(fleet, EXPORTS, 30)
--- a/tests/test_real.py
+++ b/tests/test_real.py
@@ -94,7 +94,7 @@
     for body, code in ((b"{", 304), (b"[]", 201), (b'{"id": "x"}', 201), (b"x" * 20000, 306)):
         reply = await web.request("POST", address, "/v1/beat", [], body, 5)
         assert json.loads(reply.body)["code"] == code
-    assert await fleet.known() == 4
+    assert await fleet.known_endpoint_count() == 4
 
 
 async def _put(fleet: fleets.Fleet, address: str, match: int, data: bytes) -> typing.Any:
@@ -176,15 +176,15 @@
         return sum(1 for h in fleet.hosts for line in h.lines() if line[0] == "hit") >= 5
 
     await fleet.until(at_work, 10, "requests at work")
-    proxy.tell(signal.SIGTERM)
+    proxy.send_signal(signal.SIGTERM)
     asks = await asyncio.gather(*flight)
     # What was at work is finished, though the machine is stopping.
     assert [(a.status, a.error) for a in asks] == [(200, "")] * 20
-    assert await proxy.gone(8) == 0
+    assert await proxy.wait_exit(8) == 0
     registry = fleet.cores[2][0]
-    registry.tell(signal.SIGTERM)
-    registry.tell(signal.SIGTERM)
-    assert await registry.gone(8) == 0
+    registry.send_signal(signal.SIGTERM)
+    registry.send_signal(signal.SIGTERM)
+    assert await registry.wait_exit(8) == 0
 
 
 def test_a_small_fleet_of_real_processes() -> None:
@@ -209,7 +209,7 @@
         flags = {"name": "s", "store": f"127.0.0.1:{free}", "web": address, "data": str(tmp_path)}
         process = fleets.Process("store", "s", flags, tmp_path)
         process.start()
-        assert await process.gone(20) == 2
+        assert await process.wait_exit(20) == 2
         lines = process.log.read_text().splitlines()
         assert "602 port_taken" in lines[-1]
         assert "Traceback" not in process.log.read_text()
@@ -249,7 +249,7 @@
 
         refusals = 2
 
-        async def known(self) -> int:
+        async def known_endpoint_count(self) -> int:
             if self.refusals:
                 self.refusals -= 1
                 raise ConnectionRefusedError
--- a/tests/test_recall.py
+++ b/tests/test_recall.py
@@ -82,7 +82,7 @@
 
     async def work(fleet: fleets.SimFleet) -> None:
         core = fleet.cores[0]
-        fleet.endpoints["pages-0"].beating = False
+        fleet.endpoints["pages-0"].heartbeats_enabled = False
         # Its words to others are lost from now on; its callers still reach it.
         if not guarded:
             names = [n for n in fleet.world.nodes if n != core.registry.name]
@@ -100,7 +100,7 @@
 def test_a_core_that_reaches_no_other_sends_a_leaving_endpoint_elsewhere(tmp_path: pathlib.Path) -> None:
     async def work(fleet: fleets.SimFleet) -> None:
         core = fleet.cores[0]
-        fleet.endpoints["pages-0"].beating = False
+        fleet.endpoints["pages-0"].heartbeats_enabled = False
         others = [n for c in fleet.cores[1:] for n in c.names()]
         fleet.world.links.cut([core.registry.name], others)
         assert await _leave(fleet, "pages-0", core) == 503
@@ -137,7 +137,7 @@
     async def work(fleet: fleets.SimFleet) -> None:
         await asyncio.sleep(2.0)
         for endpoint in fleet.endpoints.values():
-            endpoint.beating = False
+            endpoint.heartbeats_enabled = False
         # The last beats arrive before the power goes.
         await asyncio.sleep(1.2)
         await _dark(fleet)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -32,19 +32,19 @@
             await fleet.until(at_work, 10, "an order at work")
             # Until it is gone: also while it serves no more, and while its interpreter ends.
             while proxy.running():
-                proxy.tell(signal.SIGTERM)
+                proxy.send_signal(signal.SIGTERM)
                 await asyncio.sleep(0.005)
-                proxy.tell(signal.SIGHUP)
+                proxy.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.005)
             ask = await flight
             assert (ask.status, ask.error) == (200, "")
-            assert proxy.code == 0
+            assert proxy.exit_code == 0
             # Who sits at a terminal has a way to end it at once.
             registry = fleet.cores[0][0]
-            registry.tell(signal.SIGINT)
+            registry.send_signal(signal.SIGINT)
             await asyncio.sleep(0.1)
-            registry.tell(signal.SIGINT)
-            assert await registry.gone(3) == ENDED_BY_INTERRUPTS
+            registry.send_signal(signal.SIGINT)
+            assert await registry.wait_exit(3) == ENDED_BY_INTERRUPTS
 
     asyncio.run(main())
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -135,7 +135,7 @@
             # One that needs the hard signal, and is frozen here so that it does.
             monkeypatch.setattr(acts, "STOP_S", 0.5)
             registry = fleet.cores[0][0]
-            registry.tell(signal.SIGSTOP)
+            registry.send_signal(signal.SIGSTOP)
             await acts.end_in_order(stage, registry)
             await asyncio.sleep(3 * realengine.WATCH_S)
             watch.cancel()
@@ -182,7 +182,7 @@
 
     def deaf(self: processes.Process) -> list[str]:
         args = own(self)
-        return [sys.executable, "-c", DEAF, *args[3:]] if self.word == "proxy" else args
+        return [sys.executable, "-c", DEAF, *args[3:]] if self.command == "proxy" else args
 
     monkeypatch.setattr(processes.Process, "_args", deaf)
     monkeypatch.setitem(acts.ACTS, "leave", acts.with_behavior(leave_share=0.9, leave_within_s=0.05))
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -248,10 +248,10 @@
 def test_work_spreads_round_its_mean_within_a_bounded_tail() -> None:
     rng = random.Random(1)
     profile = profiles.EndpointProfile(spread=0.5, tail=3.0, pace=1.5)
-    spans = [profile.span(0.1, rng) for _ in range(20000)]
+    spans = [profile.work_duration_s(0.1, rng) for _ in range(20000)]
     assert statistics.mean(spans) == pytest.approx(0.15, rel=0.02)
     assert max(spans) == pytest.approx(0.45)
-    paces = [profiles.PLAIN.drawn(rng).pace for _ in range(1000)]
+    paces = [profiles.PLAIN.with_random_pace(rng).pace for _ in range(1000)]
     assert 0.5 <= min(paces) < 0.55 and 1.55 < max(paces) <= 1.6
 
 
@@ -519,7 +519,7 @@
 
 def test_beats_tell_no_more_than_before_unless_told_to(tmp_path: pathlib.Path) -> None:
     async def work(bench: Bench) -> None:
-        page = bench.endpoint.page()
+        page = bench.endpoint.heartbeat_body()
         assert set(page) == {"id", "service", "address", "zone", "burden", "interval_s"}
 
     _with(tmp_path, work, slots=2, queue=2)
@@ -602,7 +602,7 @@
 def test_a_read_is_tried_again_at_once_where_nothing_was_promised(tmp_path: pathlib.Path) -> None:
     for reply in (UNKNOWN, ConnectionResetError("broke")):
         _, waits, _ = _wish(tmp_path, READ, [reply, REFUSED], tries=1)
-        assert waits == [pytest.approx(clients.PAUSE_S + 0.01, abs=0.005)]
+        assert waits == [pytest.approx(clients.RETRY_PAUSE_S + 0.01, abs=0.005)]
     _, waits, _ = _wish(tmp_path, READ, [NO_RULE], tries=1)
     assert waits == []
 
