--- a/packages/standin/src/dykeswitch/standin/caller.py
+++ b/packages/standin/src/dykeswitch/standin/caller.py
@@ -151,7 +151,7 @@
     async def send_burst(
         self, service: shapes.ServiceShape, count: int, duration_s: float
     ) -> list[Operation]:
-        """Run a number of operations at random times of a duration; return when every response is in."""
+        """Run operations at random times within a duration; return when every response is in."""
 
         async def run_one() -> Operation:
             await self._clock.sleep(self._rng.uniform(0.0, duration_s))
@@ -195,16 +195,7 @@
         trusts: bool = False,
         excluding: typing.Container[str] = (),
     ) -> Request:
-        """Send one request and judge its response.
-
-        Args:
-            service: The service that the request is for.
-            address: The proxy to send it to; chosen if empty.
-            query_suffix: What to add to the query of its target.
-            expiry_s: Its time limit; the clients' own if None.
-            trusts: Whether its client takes a refusal's status as a promise.
-            excluding: Proxies not to choose where there are others.
-        """
+        """Send one request and judge its response; choose no proxy of `excluding` if others are ready."""
         self._count += 1
         name = f"{self._prefix}{service.name}-{self._count}"
         request = Request(name, service.name, service.writing, self._clock.now(), trusts_refusal=trusts)
--- a/packages/standin/src/dykeswitch/standin/nature.py
+++ b/packages/standin/src/dykeswitch/standin/nature.py
@@ -39,11 +39,11 @@
         stops: Whether work stops at the deadline of its request.
         drops: Whether work is dropped once the client has closed the connection.
         pipes_most: The most connections at once; None for no limit.
-        pipes_pressed: The most connections while requests wait for a slot.
+        pipes_pressed: The most connections while requests wait for a slot; None for `pipes_most` then too.
         hello_s: How long a new connection takes up a slot.
-        idle_s: When idle connections are closed.
+        idle_s: After how long idle connections are closed; None for never.
         close_share: The share of responses that end their connection.
-        forgets_s: After how long idle connections are dropped without notice to the client.
+        forgets_s: After how long idle connections are dropped without notice to the client; None for never.
         late_share: The share of heartbeats that are delayed.
         late_s: The longest such delay.
         tells_more: Whether heartbeats report `slots`, `count`, `warm_s` and `draining`.
--- a/packages/standin/src/dykeswitch/standin/process.py
+++ b/packages/standin/src/dykeswitch/standin/process.py
@@ -107,7 +107,7 @@
         return [sys.executable, "-m", "dykeswitch.standin.host", json.dumps(self.spec)]
 
     def lines(self) -> list[tuple[str, float, str]]:
-        """Return what it logged: arrivals, executions, and when its leaving was accepted."""
+        """Return what it logged: arrivals, executions, and when a registry had acknowledged its leaving."""
         path = pathlib.Path(self.spec["runs"])
         if not path.exists():
             return []
--- a/packages/standin/src/dykeswitch/standin/shape.py
+++ b/packages/standin/src/dykeswitch/standin/shape.py
@@ -18,7 +18,7 @@
         method: The method of its requests.
         work_s: How long an endpoint works on one request on average, at pace 1.
         profile: What its endpoints are like, each with a pace of its own; None for plain ones.
-        aim_s: Within which time a response is worth most.
+        aim_s: Within which time a response is worth most; 0 for none.
         expiry_s: The time limit of its clients; 0 for the fleet's own.
     """
 
