--- a/packages/scale/src/dykeswitch/scale/data_path.py
+++ b/packages/scale/src/dykeswitch/scale/data_path.py
@@ -108,7 +108,7 @@
         testbeds.add_to_watchdog(self._watchdog, self.proxy)
         self.fleet.spawn(self.fleet.clients.watch_readiness())
         await self.fleet.until(lambda: bool(self.fleet.clients.ready), 60, "the proxy is ready")
-        while await self.fleet.known() < self.load.endpoints:
+        while await self.fleet.known_endpoint_count() < self.load.endpoints:
             await self.fleet.machine.clock.sleep(0.05)
 
     async def stop(self) -> None:
@@ -125,7 +125,7 @@
         await asyncio.sleep(IDLE_WINDOW_S)
         if isinstance(self.proxy, SampledProxy):
             # The samples taken during start-up don't belong to requests.
-            self.proxy.tell(signal.SIGUSR1)
+            self.proxy.send_signal(signal.SIGUSR1)
         before = process_stats.read(self.proxy.pid)
         ends_at = loop.time() + LOAD_DURATION_S
         due_at = loop.time()
@@ -181,8 +181,8 @@
             },
         }
         if isinstance(bench.proxy, SampledProxy):
-            bench.proxy.tell(signal.SIGTERM)
-            await bench.proxy.gone(15)
+            bench.proxy.send_signal(signal.SIGTERM)
+            await bench.proxy.wait_exit(15)
             result["sampled"] = bench.proxy.read_samples()
     finally:
         with contextlib.suppress(OSError):
--- a/packages/scale/src/dykeswitch/scale/testbed.py
+++ b/packages/scale/src/dykeswitch/scale/testbed.py
@@ -87,7 +87,7 @@
         await self.change_layout()
         cores_ready_at = clock.now()
         await asyncio.gather(*(worker.start() for worker in self.endpoints))
-        while await self.fleet.known() < self.size.endpoints:
+        while await self.fleet.known_endpoint_count() < self.size.endpoints:
             if clock.now() - cores_ready_at > START_TIMEOUT_S:
                 raise TimeoutError("endpoints not known")
             await clock.sleep(0.1)
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -386,8 +386,8 @@
             return False
 
         for endpoint in fleet.endpoints.values():
-            original_act = endpoint._act
-            endpoint._act = act  # type: ignore[assignment]
+            original_act = endpoint._process
+            endpoint._process = act  # type: ignore[assignment]
         seen = set()
         for _ in range(250):
             endpoint_response = _response(rng)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -232,7 +232,7 @@
             await fleet.drain_endpoint(name, 0.1)
         assert (await _send_many(fleet, EXPORTS, 1))[0].status == 200
         reassigned = fleet.endpoints["exports-0"]
-        reassigned.beating = False
+        reassigned.heartbeats_enabled = False
         reassigned.name, reassigned.service = "others-0", "others"
         await asyncio.sleep(1.0)
         arrivals = reassigned.arrival_count
@@ -313,7 +313,7 @@
         }
         # Endpoints communicate over connections, as real ones do.
         machine = fleet.outside._replace(web=standins.LightWeb(fleet.outside.net))
-        base = await clients.direct(SMALL, machine, addresses, fleet.rng, 5.0)
+        base = await clients.run_direct_traffic(SMALL, machine, addresses, fleet.rng, 5.0)
         assert all(len(fleet.record.executions[request.name]) == 1 for request in base.requests.values())
         await fleet.clients.run_traffic(5.0)
         await _send_many(fleet, EXPORTS, 30)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -32,19 +32,19 @@
             await fleet.until(at_work, 10, "an order at work")
             # Until the process has ended, also while it no longer serves and its interpreter exits.
             while proxy.running():
-                proxy.tell(signal.SIGTERM)
+                proxy.send_signal(signal.SIGTERM)
                 await asyncio.sleep(0.005)
-                proxy.tell(signal.SIGHUP)
+                proxy.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.005)
             request = await order
             assert (request.status, request.error) == (200, "")
-            assert proxy.code == 0
+            assert proxy.exit_code == 0
             # A second interrupt from a terminal ends a process at once.
             registry = fleet.cores[0][0]
-            registry.tell(signal.SIGINT)
+            registry.send_signal(signal.SIGINT)
             await asyncio.sleep(0.1)
-            registry.tell(signal.SIGINT)
-            assert await registry.gone(3) == EXIT_INTERRUPTED
+            registry.send_signal(signal.SIGINT)
+            assert await registry.wait_exit(3) == EXIT_INTERRUPTED
 
     asyncio.run(main())
 
