--- a/packages/cli/src/dykeswitch/cli/fuzz/store.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/store.py
@@ -110,7 +110,7 @@
             _check_rises(before, now)
             before = now
         disk.lose_power(lambda options: 0)
-        again = voters.Voter(disk.wake(), ports.NoFaultPoints(), random.Random(2))
+        again = voters.Voter(disk.reopen(), ports.NoFaultPoints(), random.Random(2))
         await again.open()
         assert (again.disk_id, _held(again)) == (voter.disk_id, before)
 
--- a/packages/simulator/src/dykeswitch/simulator/exposure.py
+++ b/packages/simulator/src/dykeswitch/simulator/exposure.py
@@ -1,7 +1,7 @@
-"""How long the store of the register is exposed after a loss, in simulated time.
+"""Measures for how long the register is exposed after the loss of a core, in simulated time.
 
-A fleet is *exposed* while the loss of one more core machine could leave the register
-without a majority, and *degraded* while it bears fewer losses than it is meant to. Run as
+A fleet is *exposed* while the loss of one more core machine could leave the register without a
+majority, and *degraded* while it can survive fewer losses than it is configured for. Run
 `python -m dykeswitch.simulator.exposure` for the table of docs/control-safety.md.
 """
 
@@ -23,16 +23,16 @@
 ZONES: typing.Final = ("z1", "z2", "z3", "z4", "z5")
 # How often the state of the voters is sampled.
 SAMPLE_S: typing.Final = 0.02
-# When a machine, or the one in its place, is there again.
+# How many seconds after its loss a machine is back, or its replacement is started.
 BACK_S: typing.Final = 1.0
 WATCH_S: typing.Final = 20.0
 GRACE_S: typing.Final = 6.0
 
 
 def spare_votes(fleet: fleets.SimFleet) -> int:
-    """How many more voters may be lost before a group of the set in force has no majority.
+    """Return how many more voters may be lost before a group of the member set has no majority.
 
-    Negative where a group has none by now.
+    Negative if a group has no majority now.
     """
     stores = [core.store for core in fleet.cores]
     voters = [
@@ -40,7 +40,7 @@
     ]
     if not voters:
         return -1
-    members: register.MemberSet = max((v.members for v in voters), key=lambda held: held.epoch)
+    members: register.MemberSet = max((v.members for v in voters), key=lambda member_set: member_set.epoch)
     answering = {v.disk_id for v in voters}
     return min(
         (sum(disk in answering for disk, _ in group) - (len(group) // 2 + 1) for group in members.groups),
@@ -50,11 +50,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Exposure:
-    """What was measured after one loss: spans in seconds from the moment of the loss."""
+    """The result of one loss: durations in seconds, counted from the loss."""
 
     exposed_s: float = 0.0
     degraded_s: float = 0.0
-    # From the moment when a machine was there again until as many losses were borne as before.
+    # From the return of the machine until as many losses could be survived as before.
     after_return_s: float = 0.0
     stopped_s: float = 0.0
 
@@ -63,7 +63,7 @@
 
 
 async def restart(fleet: fleets.SimFleet, core: machines.Core) -> None:
-    """Both processes are killed, and come back with their disk."""
+    """Kill both processes of a core, and restart them with their disk."""
     core.registry.kill()
     core.store.kill()
     await asyncio.sleep(BACK_S)
@@ -72,7 +72,7 @@
 
 
 async def wipe(fleet: fleets.SimFleet, core: machines.Core) -> None:
-    """The machine loses power and its disk, and comes back empty at its address."""
+    """Cut a core's power and replace its disk; it restarts empty at the same address."""
     core.registry.lose_power()
     core.store.lose_power()
     core.store.wipe()
@@ -82,7 +82,7 @@
 
 
 def successor(fleet: fleets.SimFleet, old: machines.Core, name: str = "core-new") -> machines.Core:
-    """An empty machine in the old one's zone, at addresses of its own."""
+    """Start an empty core in the zone of the old one, at addresses of its own."""
     position = fleet.cores.index(old)
     address = fleet.world.address
     fresh = fleet.core(name, position, address(), address())
@@ -93,7 +93,7 @@
 
 
 async def replace(fleet: fleets.SimFleet, core: machines.Core) -> None:
-    """The machine goes dark for good; an empty one comes at another address."""
+    """Switch a core off for good, and start an empty one at another address."""
     core.registry.lose_power()
     core.store.lose_power()
     await asyncio.sleep(BACK_S)
@@ -101,7 +101,7 @@
 
 
 async def replace_in_order(fleet: fleets.SimFleet, core: machines.Core) -> None:
-    """An empty machine comes first; then the old one is asked to stop, and stays away."""
+    """Start an empty core first; then stop the old one in order, for good."""
     successor(fleet, core)
     await asyncio.sleep(BACK_S)
     await asyncio.gather(core.registry.stop(GRACE_S), core.store.stop(GRACE_S))
@@ -118,52 +118,52 @@
 async def measure(
     event: Event, cores: int, losses: int, victim: int, seed: int, scratch: pathlib.Path
 ) -> Exposure:
-    """Play one loss in a fleet at rest, and watch its voters."""
+    """Apply one loss to a fleet without traffic, and watch its voters."""
     shape = shapes.Shape("exposure", 2, cores, ZONES, (PAGES,))
-    fleet = fleets.SimFleet(shape, seed, scratch, bounds={"cores_lost": losses}, known=fleets.FOUNDERS)
+    fleet = fleets.SimFleet(shape, seed, scratch, bounds={"cores_lost": losses}, known=fleets.FOUNDER_COUNT)
     await fleet.start()
-    await fleet.until(lambda: spare_votes(fleet) >= losses, 30, "the losses are borne")
+    await fleet.until(lambda: spare_votes(fleet) >= losses, 30, "the configured losses can be survived")
     await asyncio.sleep(5.0 + 0.1 * seed)
-    found = Exposure()
-    begun = fleet.clock.now()
+    exposure = Exposure()
+    started_at = fleet.clock.now()
     task = fleet.spawn(event(fleet, fleet.cores[victim]))
-    while fleet.clock.now() - begun < WATCH_S:
+    while fleet.clock.now() - started_at < WATCH_S:
         await asyncio.sleep(SAMPLE_S)
-        span = fleet.clock.now() - begun
+        elapsed_s = fleet.clock.now() - started_at
         spare = spare_votes(fleet)
         if spare < losses:
-            found.degraded_s = span
-            found.after_return_s = max(0.0, span - BACK_S)
+            exposure.degraded_s = elapsed_s
+            exposure.after_return_s = max(0.0, elapsed_s - BACK_S)
         if spare < 1:
-            found.exposed_s += SAMPLE_S
+            exposure.exposed_s += SAMPLE_S
         if spare < 0:
-            found.stopped_s += SAMPLE_S
+            exposure.stopped_s += SAMPLE_S
     await task
-    return found
+    return exposure
 
 
 def table(seeds: typing.Sequence[int]) -> list[list[object]]:
-    """One row for each kind of loss and size of core: the worst over victims and seeds."""
+    """Return a row for each kind of loss and number of cores: the worst over victims and seeds."""
     rows: list[list[object]] = []
     for cores, losses in ((3, 1), (5, 2)):
         for name, event in EVENTS.items():
-            seen = []
+            measured = []
             for seed in seeds:
                 for victim in range(cores):
                     with tempfile.TemporaryDirectory() as scratch:
                         work = measure(event, cores, losses, victim, seed, pathlib.Path(scratch))
-                        seen.append(loops.run(work))
-            degraded = [one.degraded_s for one in seen]
+                        measured.append(loops.run(work))
+            degraded = [exposure.degraded_s for exposure in measured]
             rows.append(
                 [
                     cores,
                     name,
-                    len(seen),
-                    f"{max(one.exposed_s for one in seen):.2f}",
+                    len(measured),
+                    f"{max(exposure.exposed_s for exposure in measured):.2f}",
                     f"{sum(degraded) / len(degraded):.2f}",
                     f"{max(degraded):.2f}",
-                    f"{max(one.after_return_s for one in seen):.2f}",
-                    f"{max(one.stopped_s for one in seen):.2f}",
+                    f"{max(exposure.after_return_s for exposure in measured):.2f}",
+                    f"{max(exposure.stopped_s for exposure in measured):.2f}",
                 ]
             )
     return rows
--- a/packages/simulator/src/dykeswitch/simulator/faults/control.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/control.py
@@ -161,7 +161,7 @@
     end = stage.now + STALL_S
     operator = stage.operator(lost_answers=0.1)
     await _settled(stage, _orders_until(stage, operator, end), _reads_until(stage, core, end))
-    disk.flow()
+    disk.resume()
     await _current(stage, core)
 
 
--- a/packages/simulator/src/dykeswitch/simulator/faults/disks.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/disks.py
@@ -40,7 +40,7 @@
     core = stage.core()
     disk = core.store.disk
     assert disk is not None
-    disk.spoilt[step] = why
+    disk.step_errors[step] = why
     for _ in range(3):
         await stage.change()
     await stage.fleet.get(stage.core())
@@ -48,7 +48,7 @@
         stage.report_failure(f"a store on a disk that said '{why}' goes on voting")
     await asyncio.sleep(1.0)
     core.store.kill()
-    disk.spoilt.clear()
+    disk.step_errors.clear()
     core.store.restart()
     await stage.wait_until_all_vote()
     await stage.change(core)
@@ -66,7 +66,7 @@
         await stage.change()
     await stage.fleet.get(core)
     await asyncio.sleep(max(0.0, begun + STALL_S - stage.fleet.clock.now()))
-    disk.flow()
+    disk.resume()
     await stage.change(core)
     if core.store.daemon.voter.disk_fault:
         stage.report_failure("a store whose disk goes on does not vote")
--- a/packages/simulator/src/dykeswitch/simulator/faults/wires.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/wires.py
@@ -105,7 +105,7 @@
     for node in [n for c in cores for n in (c.store, c.registry)] + [e.node for e in edges]:
         node.lose_power()
     for name in names + slots:
-        stage.links.off.add(name)
+        stage.links.powered_off.add(name)
         fleet.kill_endpoint(name)
     await asyncio.sleep(3.0)
     await stage.change()
@@ -113,8 +113,8 @@
     for node in [n for c in cores for n in (c.store, c.registry)] + [e.node for e in edges]:
         node.restart()
     for name in names + slots:
-        stage.links.off.discard(name)
-        fleet.wake(fleet.endpoints[name])
+        stage.links.powered_off.discard(name)
+        fleet.start_endpoint(fleet.endpoints[name])
     stage.mark_gone(edges, begun)
     await asyncio.sleep(4.0)
     await fleet.get(cores[0])
--- a/packages/simulator/src/dykeswitch/simulator/fleet.py
+++ b/packages/simulator/src/dykeswitch/simulator/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet in the simulator, of either shape, with its operators and callers."""
+"""A whole simulated fleet of a given shape, with its endpoints, operators and clients."""
 
 import asyncio
 import contextvars
@@ -27,11 +27,11 @@
 import dykeswitch.standin.shape as shapes
 import dykeswitch.store.program as stores
 
-FOUNDERS: typing.Final = 3
+FOUNDER_COUNT: typing.Final = 3
 
 
 class SimFleet:
-    """Everything the brief names, on virtual time."""
+    """Cores, proxies, endpoints, clients and operators on virtual time."""
 
     def __init__(
         self,
@@ -44,17 +44,17 @@
         known: int | None = None,
         sealed: bool = False,
     ) -> None:
-        # How the proxies speak with endpoints: these may be known to seal their successes.
+        # With `sealed`, the proxies expect a seal on every success of an endpoint.
         self._adapter = machines.SealedEndpoints() if sealed else adapters.DefaultAdapter()
-        # How many of the cores all are told of at first; the rest have to be learnt.
-        self._known = known
+        # How many cores are in the settings of each program, all if None; it has to discover the others.
+        self._known_core_count = known
         self.world = worlds.World(seed, scratch)
         self.world.links.far_s = shape.far_s
         self.shape = shape
         self.scale = scale
         self.rng = random.Random(seed + 2)
         self._bounds = bounds or {}
-        # Whether requests are sent that each layout moves to another service.
+        # The services of route checks: requests that each new layout sends to another service.
         self.slots = shapes.SLOTS if check_routes else ()
         self.outside = self.world.machine_for("outside")
         self.clock = self.outside.clock
@@ -65,13 +65,13 @@
         self.hosts: dict[str, loops.Host] = {}
         self.left: dict[str, float] = {}
         self.arrivals: list[tuple[float, str, str]] = []
-        # Requests that came to an endpoint and were meant for another.
+        # Requests that reached an endpoint other than the one they were meant for.
         self.misdirected: list[tuple[float, str, str]] = []
         self.budgets: list[observations.TimeBudget] = []
         self.puts: list[observations.LayoutPut] = []
         self.reads: list[observations.LayoutRead] = []
         self.samples: list[observations.Sample] = []
-        self._boots: dict[str, int] = {}
+        self._boot_counts: dict[str, int] = {}
         self._tasks: set[asyncio.Task[typing.Any]] = set()
         self._build()
         self.clients = clients.Clients(
@@ -79,7 +79,7 @@
         )
 
     def settings(self, **own: typing.Any) -> settings.Settings:
-        """A program's settings: those of all, and its own."""
+        """Return the settings of a program: those of the whole fleet, then its own."""
         return settings.Settings(**{**self._bounds, **own})
 
     def _build(self) -> None:
@@ -95,56 +95,60 @@
                 self.endpoint(f"{service.name}-{n}", service, world.address(), n)
 
     def core(self, name: str, n: int, member: str, store: str, seeds: tuple[str, ...] = ()) -> machines.Core:
-        """A core; also one that comes later, with the old seeds in its settings."""
+        """Create a core; one that is added later may get other seeds in its settings."""
         world = self.world
         web = world.address()
         zone = self.shape.zones[n % len(self.shape.zones)]
-        told = slice(self._known)
+        known_cores = slice(self._known_core_count)
         shared = {
-            "seeds": seeds or tuple(self.member_addresses[told]),
-            "founders": tuple(self.store_addresses[told]),
+            "seeds": seeds or tuple(self.member_addresses[known_cores]),
+            "founders": tuple(self.store_addresses[known_cores]),
         }
-        first = self.settings(name=name, zone=zone, member=member, web=web, store=store, **shared)
-        second = self.settings(name=f"{name}-store", zone=zone, store=store, web=world.address(), data="-")
-        keeper = world.add(
+        registry_settings = self.settings(name=name, zone=zone, member=member, web=web, store=store, **shared)
+        store_settings = self.settings(
+            name=f"{name}-store", zone=zone, store=store, web=world.address(), data="-"
+        )
+        store_node = world.add(
             "store",
             f"{name}-store",
-            lambda machine, log, rng: stores.Store(second, machine, machines.disk_of(keeper), log, rng),
+            lambda machine, log, rng: stores.Store(
+                store_settings, machine, machines.disk_of(store_node), log, rng
+            ),
         )
         world.links.zones |= {name: zone, f"{name}-store": zone}
-        keeper.disk = disks.SimDisk(world.folder(), world.rng)
+        store_node.disk = disks.SimDisk(world.folder(), world.rng)
         registry = world.add(
             "registry",
             name,
-            lambda machine, log, rng: registries.Registry(first, machine, log, rng),
+            lambda machine, log, rng: registries.Registry(registry_settings, machine, log, rng),
         )
-        return machines.Core(registry, keeper, member, web, store, zone)
+        return machines.Core(registry, store_node, member, web, store, zone)
 
     def edge(self, name: str, n: int, web: str = "") -> machines.Edge:
-        """A proxy's machine; also one that comes later, or in another's place."""
+        """Create an edge machine; one that is added later may take over the web address of another."""
         world = self.world
         config = self.settings(
             name=name,
             zone=self.shape.zones[n % len(self.shape.zones)],
             member=world.address(),
             web=web or world.address(),
-            seeds=tuple(self.member_addresses[: self._known]),
+            seeds=tuple(self.member_addresses[: self._known_core_count]),
         )
         world.links.zones[name] = config.zone
 
         def build(machine: ports.Machine, log: typing.Any, rng: random.Random) -> proxies.Proxy:
-            self._boots[name] = self._boots.get(name, 0) + 1
+            self._boot_counts[name] = self._boot_counts.get(name, 0) + 1
             return proxies.Proxy(config, machine, log, rng, self._adapter)
 
         return machines.Edge(world.add("proxy", name, build), config.web, config.zone)
 
     def endpoint(self, name: str, service: shapes.ServiceShape, address: str, n: int) -> endpoints.Endpoint:
-        """One more endpoint, on a machine of its own that runs no program of ours."""
+        """Create an endpoint on a machine of its own, which runs none of the gateway's programs."""
         machine = self.world.machine_for(name)
         zone = self.shape.zones[n % len(self.shape.zones)]
         self.world.links.zones[name] = zone
         rng = random.Random(self.world.rng.getrandbits(64))
-        made = endpoints.Endpoint(
+        created = endpoints.Endpoint(
             name,
             service.name,
             address,
@@ -159,36 +163,38 @@
             on_start=self.record.record_start,
             on_misdirected=self._record_misdirected,
         )
-        self.endpoints[name] = made
-        return made
+        self.endpoints[name] = created
+        return created
 
     def _record_arrival(self, endpoint: endpoints.Endpoint, method: str, target: str) -> None:
-        name = clients.request_id_in(target)
-        self.arrivals.append((self.clock.now(), name, endpoint.name))
-        # One that is told of no end may work for ever.
-        span = math.inf if endpoint.time_budget_s is None else endpoint.time_budget_s
-        self.budgets.append(observations.TimeBudget(self.clock.now(), name, span, self.world.links.stable()))
+        request_id = clients.request_id_in(target)
+        self.arrivals.append((self.clock.now(), request_id, endpoint.name))
+        # Without a time budget the endpoint may work for an unlimited time.
+        duration_s = math.inf if endpoint.time_budget_s is None else endpoint.time_budget_s
+        self.budgets.append(
+            observations.TimeBudget(self.clock.now(), request_id, duration_s, self.world.links.stable())
+        )
 
     def _record_misdirected(self, endpoint: endpoints.Endpoint, method: str, target: str) -> None:
         self.misdirected.append((self.clock.now(), clients.request_id_in(target), endpoint.name))
 
-    def wake(self, endpoint: endpoints.Endpoint, silent_s: float = 0.0) -> None:
-        """Let an endpoint listen, and beat after a silence, on its own machine."""
+    def start_endpoint(self, endpoint: endpoints.Endpoint, silent_s: float = 0.0) -> None:
+        """Start an endpoint on its machine; its heartbeats begin after `silent_s` seconds."""
         host = loops.Host(endpoint.name)
         self.hosts[endpoint.name] = host
         endpoint.move_to_machine(self.machine_on(host))
         context = contextvars.Context()
-        context.run(loops.HOST.set, host)
+        context.run(loops.CURRENT_HOST.set, host)
 
-        async def live() -> None:
+        async def run_endpoint() -> None:
             await endpoint.open()
             await asyncio.sleep(silent_s)
             await endpoint.send_heartbeats()
 
-        self._keep(self.world.loop.create_task(live(), context=context))
+        self._track_task(self.world.loop.create_task(run_endpoint(), context=context))
 
     def machine_on(self, host: loops.Host) -> ports.Machine:
-        """What the programs of one machine see of it."""
+        """Return the ports of a machine, as its programs use them."""
         links = self.world.links
         return ports.Machine(
             worlds.SimClock(self.world.loop),
@@ -198,7 +204,7 @@
         )
 
     def kill_endpoint(self, name: str) -> None:
-        """The process ends: pipes are reset, beats stop."""
+        """End an endpoint's process: its connections are reset, and its heartbeats stop."""
         host = self.hosts[name]
         host.dead = True
         links = self.world.links
@@ -209,41 +215,41 @@
             task.cancel()
 
     async def drain_endpoint(self, name: str, grace: float = 3.0) -> None:
-        """Leave politely, finish what runs, then end."""
+        """Deregister an endpoint, let running requests finish for `grace` seconds, then end it."""
         if await self.endpoints[name].leave():
             self.left[name] = self.clock.now()
         await asyncio.sleep(grace)
         self.kill_endpoint(name)
 
-    def _keep(self, task: asyncio.Task[typing.Any]) -> None:
+    def _track_task(self, task: asyncio.Task[typing.Any]) -> None:
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def spawn(self, work: typing.Coroutine[typing.Any, typing.Any, typing.Any]) -> asyncio.Task[typing.Any]:
-        """Run something beside the day, for as long as it lasts."""
+        """Run a coroutine in the background."""
         task = asyncio.get_running_loop().create_task(work)
-        self._keep(task)
+        self._track_task(task)
         return task
 
     # Starting.
 
     async def start(self) -> float:
-        """Start all, send the layout, wait until every proxy is ready."""
-        begun = self.clock.now()
+        """Start all, send the layout, and wait until every proxy is ready; returns the seconds it took."""
+        started_at = self.clock.now()
         for core in self.cores:
             core.store.start()
             core.registry.start()
         for edge in self.edges:
             edge.node.start()
         for endpoint in list(self.endpoints.values()):
-            self.wake(endpoint)
+            self.start_endpoint(endpoint)
         self.spawn(self.clients.watch_readiness())
         self.spawn(self._sample())
-        first = self.shape.layout()
-        await self.apply(shapes.rotating_layout(first, 0) if self.slots else first)
+        first_layout = self.shape.layout()
+        await self.apply(shapes.rotating_layout(first_layout, 0) if self.slots else first_layout)
         await self.until(lambda: len(self.clients.ready) == len(self.edges), 30, "all proxies ready")
         await self.until(self._all_known, 30, "all endpoints known to all proxies")
-        return self.clock.now() - begun
+        return self.clock.now() - started_at
 
     def _all_known(self) -> bool:
         return all(
@@ -253,13 +259,13 @@
         )
 
     async def until(self, test: typing.Callable[[], bool], wait: float, what: str) -> float:
-        """Wait until something is so; how long that took. Raises `TimeoutError`."""
-        begun = self.clock.now()
+        """Wait until `test` is true and return the seconds it took; raises `TimeoutError` after `wait`."""
+        started_at = self.clock.now()
         while not test():
-            if self.clock.now() - begun > wait:
+            if self.clock.now() - started_at > wait:
                 raise TimeoutError(what)
             await asyncio.sleep(0.02)
-        return self.clock.now() - begun
+        return self.clock.now() - started_at
 
     # Operators.
 
@@ -271,52 +277,54 @@
         wait: float = 5.0,
         lose_answer: bool = False,
     ) -> observations.LayoutPut:
-        """Send an order to one core, whose answer may be lost on its way though it was taken."""
+        """Send an order to one core; its answer may be lost on the way, although the order was accepted."""
         body = json.dumps(layout, sort_keys=True)
         put = observations.LayoutPut(self.clock.now(), body, match)
         self.puts.append(put)
         fields = [] if match is None else [("if-match", f'"{match}"')]
         try:
-            reply = await self.outside.web.request("PUT", core.web, "/v1/layout", fields, body.encode(), wait)
+            response = await self.outside.web.request(
+                "PUT", core.web, "/v1/layout", fields, body.encode(), wait
+            )
         except (OSError, TimeoutError):
             put.ended_at = self.clock.now()
             return put
         put.ended_at = self.clock.now()
         if lose_answer:
-            put.lost_status = reply.status
+            put.lost_status = response.status
             return put
-        put.status = reply.status
-        if reply.status == 200:
-            put.version = int(json.loads(reply.body)["version"])
+        put.status = response.status
+        if response.status == 200:
+            put.version = int(json.loads(response.body)["version"])
         return put
 
     async def get(self, core: machines.Core, wait: float = 5.0) -> observations.LayoutRead:
         """Read the newest layout from one core."""
-        got = observations.LayoutRead(self.clock.now())
-        self.reads.append(got)
+        read = observations.LayoutRead(self.clock.now())
+        self.reads.append(read)
         try:
-            reply = await self.outside.web.request("GET", core.web, "/v1/layout", [], b"", wait)
+            response = await self.outside.web.request("GET", core.web, "/v1/layout", [], b"", wait)
         except (OSError, TimeoutError):
-            got.ended_at = self.clock.now()
-            return got
-        got.ended_at = self.clock.now()
-        got.status = reply.status
-        if reply.status == 200:
-            got.version = int(reply.header("dykeswitch-version") or 0)
-            got.body = json.dumps(json.loads(reply.body), sort_keys=True)
-        return got
+            read.ended_at = self.clock.now()
+            return read
+        read.ended_at = self.clock.now()
+        read.status = response.status
+        if response.status == 200:
+            read.version = int(response.header("dykeswitch-version") or 0)
+            read.body = json.dumps(json.loads(response.body), sort_keys=True)
+        return read
 
     async def query(self, text: str, core: machines.Core, wait: float = 5.0) -> dict[str, typing.Any] | None:
-        """One sentence of the operators' language to one registry."""
+        """Send one sentence of the operators' language to one registry."""
         body = json.dumps({"text": text, "by": "operator"}).encode()
         try:
-            reply = await self.outside.web.request("POST", core.web, "/v1/query", [], body, wait)
+            response = await self.outside.web.request("POST", core.web, "/v1/query", [], body, wait)
         except (OSError, TimeoutError):
             return None
-        return dict(json.loads(reply.body)) if reply.status == 200 else None
+        return dict(json.loads(response.body)) if response.status == 200 else None
 
     async def apply(self, layout: dict[str, typing.Any], wait: float = 30.0) -> int:
-        """Send a layout to one core after another until it is taken."""
+        """Send a layout to one core after another until one accepts it; returns its version."""
         end = self.clock.now() + wait
         while self.clock.now() < end:
             for core in list(self.cores):
@@ -324,12 +332,12 @@
                 if put.status == 200:
                     return put.version
             await asyncio.sleep(0.1)
-        raise TimeoutError("no registry took the layout")
+        raise TimeoutError("no registry accepted the layout in time")
 
-    # Watching.
+    # Observations.
 
     async def _sample(self) -> None:
-        """See every 50 ms what each proxy carries and whether it would serve by it."""
+        """Record the layout version and readiness of each proxy every 50 ms."""
         while True:
             now = self.clock.now()
             for edge in self.edges:
@@ -341,7 +349,7 @@
                     observations.Sample(
                         now,
                         node.name,
-                        self._boots.get(node.name, 0),
+                        self._boot_counts.get(node.name, 0),
                         daemon.documents.version(documents.LAYOUT),
                         daemon.ready() is None,
                     )
--- a/packages/simulator/src/dykeswitch/simulator/history/configuration.py
+++ b/packages/simulator/src/dykeswitch/simulator/history/configuration.py
@@ -57,7 +57,7 @@
 
 def layout_by_traffic(story: record.History) -> list[str]:
     """Each request reached the service of a layout that stood within the last 2 s."""
-    stood = standing.all_of(story.puts)
+    stood = standing.all_standings(story.puts)
     slack = LAYOUT_S + SLACK_S + story.wire_s
     found = standing.wrong_service(stood, story.route_checks, story.arrivals, story.owners, slack)
     return found + standing.wrong_refusal(stood, story.route_checks, slack)
@@ -65,15 +65,15 @@
 
 def layout_order_by_traffic(story: record.History) -> list[str]:
     """No request went by an older layout than its proxy had gone by before."""
-    stood = standing.all_of(story.puts)
+    stood = standing.all_standings(story.puts)
     slack, order = LAYOUT_S + SLACK_S + story.wire_s, ORDER_S + story.wire_s
-    return standing.slips(stood, story.route_checks, story.arrivals, story.owners, slack, order)
+    return standing.order_violations(stood, story.route_checks, story.arrivals, story.owners, slack, order)
 
 
 def not_run_again(story: record.History) -> list[str]:
     """No request runs once more where no layout that stood within the last 2 s let it."""
     slack = LAYOUT_S + SLACK_S + story.wire_s
-    return standing.run_again(standing.all_of(story.puts), story.route_checks, story.execution_starts, slack)
+    return standing.run_again(standing.all_standings(story.puts), story.route_checks, story.execution_starts, slack)
 
 
 Fact = tuple[float, float, int, str]
--- a/packages/simulator/src/dykeswitch/simulator/history/requests.py
+++ b/packages/simulator/src/dykeswitch/simulator/history/requests.py
@@ -147,9 +147,9 @@
         given_s = request.expiry_s or story.expiry_s
         for one in (all_budgets := time_budgets.get(request.name, [])):
             first = all_budgets[0]
-            end = max(first.at + first.span_s, request.started_at + given_s)
-            longer = one.span_s > given_s + HANDED_SLACK_S
+            end = max(first.at + first.duration_s, request.started_at + given_s)
+            longer = one.duration_s > given_s + HANDED_SLACK_S
             later = one.links_stable and one.at > first.at + HANDED_SLACK_S
-            if longer or (later and one.at + one.span_s > end + HANDED_SLACK_S):
-                found.append(f"{request.name}, of {given_s:.1f} s, was handed on with {one.span_s:.2f} s")
+            if longer or (later and one.at + one.duration_s > end + HANDED_SLACK_S):
+                found.append(f"{request.name}, of {given_s:.1f} s, was handed on with {one.duration_s:.2f} s")
     return found
--- a/packages/simulator/src/dykeswitch/simulator/leaks.py
+++ b/packages/simulator/src/dykeswitch/simulator/leaks.py
@@ -1,4 +1,4 @@
-"""What a fleet holds: after a day and some calm it must be back at its base."""
+"""Resource counts of a fleet, which must be back at their baseline after a day and a quiet time."""
 
 import collections
 import dataclasses
@@ -8,29 +8,29 @@
 import dykeswitch.simulator.world as worlds
 import dykeswitch.timeline as timelines
 
-# Tasks and calls between members come and go with each shuffle.
+# Tasks and calls between members vary with each gossip shuffle.
 TASKS_SLACK: typing.Final = 12
-# Pipes that two members may have between them: kept ones of both, and calls under way.
-PAIR_MOST: typing.Final = 12
+# Connections that two members may have between them: idle ones of both, and those of calls in progress.
+MAX_PAIR_CONNECTIONS: typing.Final = 12
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Count:
-    """The most that any living program holds of each."""
+    """Resources of the running programs: totals, or the most that any one program has."""
 
     tasks: int
     table: int
     flights: int
-    # Pipes to endpoints that no list of idle ones holds, and the most between two members.
-    astray: int
-    pair: int
+    # Connections to endpoints that are in no pool of idle ones, and the most connections between two members.
+    unowned: int
+    max_between_members: int
     entries: dict[str, int]
     endpoints: int
     members: int
 
 
 def count(fleet: fleets.SimFleet) -> Count:
-    """Count what the living programs hold."""
+    """Count the resources of the running programs."""
     nodes = [n for n in fleet.world.nodes.values() if n.up and n.daemon is not None]
     proxies = [n for n in nodes if n.program == "proxy"]
     member_timelines = [n.daemon.timeline for n in nodes if n.program != "store"]
@@ -42,52 +42,54 @@
         tasks=max((len(n.host.tasks) for n in nodes), default=0),
         table=sum(len(n.daemon.carrier.table) for n in proxies),
         flights=sum(sum(n.daemon.carrier.selector.flights.values()) for n in proxies),
-        astray=_astray(fleet, proxies),
-        pair=_pair(fleet),
+        unowned=_count_unowned(fleet, proxies),
+        max_between_members=_max_between_members(fleet),
         entries=entries,
         endpoints=len(fleet.endpoints),
         members=len(fleet.world.nodes),
     )
 
 
-def _astray(fleet: fleets.SimFleet, proxies: list[worlds.Node]) -> int:
+def _count_unowned(fleet: fleets.SimFleet, proxies: list[worlds.Node]) -> int:
     names = {n.name for n in proxies}
-    open_ones: list[object] = [
-        p
-        for p in fleet.world.links.connections
-        if p.here.name in names and p.there.name in fleet.endpoints and not p.ended()
+    open_connections: list[object] = [
+        connection
+        for connection in fleet.world.links.connections
+        if connection.local.name in names
+        and connection.remote.name in fleet.endpoints
+        and not connection.ended()
     ]
-    held: int = sum(n.daemon.carrier.idle() for n in proxies)
-    return max(0, len(open_ones) - held)
+    idle: int = sum(n.daemon.carrier.idle() for n in proxies)
+    return max(0, len(open_connections) - idle)
 
 
-def _pair(fleet: fleets.SimFleet) -> int:
+def _max_between_members(fleet: fleets.SimFleet) -> int:
     pairs = collections.Counter(
-        (p.here.name, p.there.name)
-        for p in fleet.world.links.connections
-        if p.there.name not in fleet.endpoints and p.here.name not in fleet.endpoints
+        (connection.local.name, connection.remote.name)
+        for connection in fleet.world.links.connections
+        if connection.remote.name not in fleet.endpoints and connection.local.name not in fleet.endpoints
     )
     return max(pairs.values(), default=0)
 
 
-def grown(base: Count, last: Count) -> list[str]:
-    """What has not come back to its base."""
+def grown(baseline: Count, last: Count) -> list[str]:
+    """Report the resources that have not come back to their baseline."""
     found = []
     if last.table or last.flights:
-        found.append(f"{last.table} exchanges and {last.flights} go's are still counted")
-    # A task for each member that came since is no leak.
-    if last.tasks > base.tasks * last.members / base.members + TASKS_SLACK:
-        found.append(f"a program runs {last.tasks} tasks, {base.tasks} before")
-    # Each machine that came since has its own pipes to the rest.
-    last.members / base.members
-    if last.astray:
-        found.append(f"{last.astray} pipes to endpoints are open that nobody holds")
-    if last.pair > PAIR_MOST:
-        found.append(f"{last.pair} pipes are open between two members")
-    for kind, many in last.entries.items():
-        # One entry for each endpoint or member that ever was, and a mark for each endpoint.
-        most = {timelines.ENDPOINT: last.endpoints, timelines.MARK: last.endpoints}.get(kind)
-        most = last.members + base.entries.get(kind, 0) if most is None else most
-        if many > most:
-            found.append(f"{many} entries of kind {kind}, at most {most} could be")
+        found.append(f"{last.table} exchanges and {last.flights} attempts are still counted")
+    # Tasks for members that were added since are no leak.
+    if last.tasks > baseline.tasks * last.members / baseline.members + TASKS_SLACK:
+        found.append(f"a program runs {last.tasks} tasks, {baseline.tasks} before")
+    # Each machine that was added since has connections of its own to the others.
+    last.members / baseline.members
+    if last.unowned:
+        found.append(f"{last.unowned} connections to endpoints are open but in no pool")
+    if last.max_between_members > MAX_PAIR_CONNECTIONS:
+        found.append(f"{last.max_between_members} connections are open between two members")
+    for kind, entry_count in last.entries.items():
+        # At most one entry for each endpoint or member that ever existed, and one mark for each endpoint.
+        limit = {timelines.ENDPOINT: last.endpoints, timelines.MARK: last.endpoints}.get(kind)
+        limit = last.members + baseline.entries.get(kind, 0) if limit is None else limit
+        if entry_count > limit:
+            found.append(f"{entry_count} entries of kind {kind}, at most {limit} are possible")
     return found
--- a/packages/simulator/src/dykeswitch/simulator/machines.py
+++ b/packages/simulator/src/dykeswitch/simulator/machines.py
@@ -1,4 +1,4 @@
-"""The machines of a fleet that run programs of ours."""
+"""The machines of a simulated fleet that run the gateway's programs."""
 
 import dataclasses
 
@@ -9,7 +9,7 @@
 
 
 class SealedEndpoints(adapters.DefaultAdapter):
-    """The product's interface towards endpoints that seal every success."""
+    """The adapter for endpoints that add a seal header to every successful response."""
 
     header_names = dataclasses.replace(adapters.HeaderNames(), seal=headers.SEAL.encode())
 
@@ -26,7 +26,7 @@
     zone: str
 
     def names(self) -> list[str]:
-        """Its processes, as the simulated network knows them."""
+        """Return the names of its processes in the simulated network."""
         return [self.registry.name, self.store.name]
 
 
@@ -40,6 +40,6 @@
 
 
 def disk_of(node: worlds.Node) -> disks.SimDisk:
-    """The disk of a machine that has one."""
+    """Return the disk of a machine that has one."""
     assert node.disk is not None
     return node.disk
--- a/packages/simulator/src/dykeswitch/simulator/net.py
+++ b/packages/simulator/src/dykeswitch/simulator/net.py
@@ -1,4 +1,4 @@
-"""The simulated network: pipes with delay, cuts, resets."""
+"""The simulated network: connections with delays, cuts and resets."""
 
 import asyncio
 import collections
@@ -10,14 +10,14 @@
 import dykeswitch.ports as ports
 import dykeswitch.simulator.loop as loops
 
-# How long after a cut what it held up may still arrive, in seconds.
+# For how many seconds after a cut is healed delayed data may still arrive.
 SETTLE_S: typing.Final = 4.0
-# Calls that an application has in hand.
-Flights = dict["asyncio.Task[None]", None]
+# Calls that an application is running.
+RunningCalls = dict["asyncio.Task[None]", None]
 
 
 class SimulatedLinks:
-    """Which machine reaches which, and how long it takes."""
+    """The links between machines: which machine reaches which, and with what delay."""
 
     def __init__(self, loop: loops.VirtualLoop, rng: random.Random) -> None:
         self.loop = loop
@@ -27,170 +27,182 @@
         self.loss = 0.0
         self._healed_at = -math.inf
         self.listeners: dict[str, tuple[loops.Host, ports.Serve]] = {}
-        self.apps: dict[str, tuple[loops.Host, ports.App, Flights]] = {}
-        # The machine that an address belongs to, whether or not anyone listens.
-        self.homes: dict[str, loops.Host] = {}
+        self.apps: dict[str, tuple[loops.Host, ports.App, RunningCalls]] = {}
+        # The machine to which an address belongs, whether or not a program listens there.
+        self.hosts_by_address: dict[str, loops.Host] = {}
         self.connections: dict[SimConnection, None] = {}
-        # Callers' departures that are still on their way.
-        self.departing: dict[asyncio.Task[None], None] = {}
-        self.off: set[str] = set()
-        # Where machines stand, how much longer it takes between two zones, and the bytes
-        # that went from one machine to another in another zone.
+        # Disconnects of clients that have not reached the application yet.
+        self.pending_disconnects: dict[asyncio.Task[None], None] = {}
+        self.powered_off: set[str] = set()
+        # The zone of each machine, the extra delay between two zones, and the bytes sent from
+        # one machine to another in a different zone.
         self.zones: dict[str, str] = {}
         self.far_s = 0.0
-        self.crossed: collections.Counter[tuple[str, str]] = collections.Counter()
-
-    def far(self, one: str, two: str) -> bool:
-        """Whether two machines are known to stand in different zones."""
-        here, there = self.zones.get(one), self.zones.get(two)
-        return here is not None and there is not None and here != there
-
-    def sent(self, one: str, two: str, size: int) -> None:
-        """Count what goes from one machine to another, where that is between zones."""
-        if self.far(one, two):
-            self.crossed[one, two] += size
-
-    def delay(self, one: str, two: str) -> float:
-        """How long a packet takes from one machine to another."""
-        span = self.rng.uniform(0.0002, 0.0015) + self.slow.get(one, 0.0) + self.slow.get(two, 0.0)
-        if self.far_s and self.far(one, two):
-            span += self.far_s
-        # A lost packet is sent again by the transport: seen from here it is late.
+        self.bytes_between_zones: collections.Counter[tuple[str, str]] = collections.Counter()
+
+    def in_different_zones(self, source: str, destination: str) -> bool:
+        """Whether both machines have a known zone, and the zones differ."""
+        source_zone, destination_zone = self.zones.get(source), self.zones.get(destination)
+        return source_zone is not None and destination_zone is not None and source_zone != destination_zone
+
+    def count_bytes(self, source: str, destination: str, size: int) -> None:
+        """Count the bytes sent from one machine to another, if they are in different zones."""
+        if self.in_different_zones(source, destination):
+            self.bytes_between_zones[source, destination] += size
+
+    def delay(self, source: str, destination: str) -> float:
+        """Return how long a packet takes from one machine to another, in seconds."""
+        delay_s = (
+            self.rng.uniform(0.0002, 0.0015) + self.slow.get(source, 0.0) + self.slow.get(destination, 0.0)
+        )
+        if self.far_s and self.in_different_zones(source, destination):
+            delay_s += self.far_s
+        # The transport sends a lost packet again, so that it arrives late.
         if self.loss and self.rng.random() < self.loss:
-            span += self.rng.uniform(0.2, 0.5)
-        return span
-
-    def open(self, one: str, two: str) -> bool:
-        """Whether packets pass from one machine to another."""
-        return (one, two) not in self.cuts and one not in self.off and two not in self.off
-
-    def both(self, one: str, two: str) -> bool:
-        """Whether packets pass both ways."""
-        return self.open(one, two) and self.open(two, one)
-
-    def cut(self, ones: typing.Iterable[str], twos: typing.Iterable[str], both: bool = True) -> None:
-        """Cut some machines off from others, one way or both."""
-        for one in ones:
-            for two in twos:
-                if one != two:
-                    self.cuts.add((one, two))
+            delay_s += self.rng.uniform(0.2, 0.5)
+        return delay_s
+
+    def can_send(self, source: str, destination: str) -> bool:
+        """Whether packets pass from the source to the destination."""
+        return (
+            (source, destination) not in self.cuts
+            and source not in self.powered_off
+            and destination not in self.powered_off
+        )
+
+    def connected(self, source: str, destination: str) -> bool:
+        """Whether packets pass in both directions."""
+        return self.can_send(source, destination) and self.can_send(destination, source)
+
+    def cut(
+        self, sources: typing.Iterable[str], destinations: typing.Iterable[str], both: bool = True
+    ) -> None:
+        """Cut the links from some machines to others, in one direction or in both."""
+        for source in sources:
+            for destination in destinations:
+                if source != destination:
+                    self.cuts.add((source, destination))
                     if both:
-                        self.cuts.add((two, one))
+                        self.cuts.add((destination, source))
 
     def stable(self) -> bool:
-        """Whether nothing is cut, slowed or lost, nor was cut a little while ago."""
-        disturbed = self.cuts or self.slow or self.off or self.loss
+        """Whether no link is cut, slow or lossy, and no cut was healed within the last `SETTLE_S`."""
+        disturbed = self.cuts or self.slow or self.powered_off or self.loss
         return not disturbed and self.loop.time() - self._healed_at > SETTLE_S
 
     def heal(self) -> None:
-        """End every cut; what was held up goes on."""
+        """End every cut, and send what was queued meanwhile."""
         self._healed_at = self.loop.time()
         self.cuts.clear()
         for connection in list(self.connections):
-            connection.pump()
+            connection.flush()
 
     def reset_host(self, name: str) -> None:
-        """The machine's system ends every pipe that its process had."""
+        """Reset every connection of a machine's process, as its operating system does."""
         for connection in list(self.connections):
-            if connection.here.name == name:
+            if connection.local.name == name:
                 connection.reset()
 
 
 class SimConnection:
-    """One end of a pipe; the other end is `peer`."""
+    """One end of a connection; the other end is `peer`."""
 
-    def __init__(self, links: SimulatedLinks, here: loops.Host, there: loops.Host) -> None:
+    def __init__(self, links: SimulatedLinks, local: loops.Host, remote: loops.Host) -> None:
         self._links = links
-        self.here = here
-        self.there = there
+        self.local = local
+        self.remote = remote
         self.peer: SimConnection | None = None
-        self._inbox = bytearray()
-        self._fin = False
-        self._rst = False
+        self._received = bytearray()
+        self._eof = False
+        self._was_reset = False
         self._closed = False
-        self._news = asyncio.Event()
+        self._changed = asyncio.Event()
         self._queue: collections.deque[bytes | None] = collections.deque()
-        self._last = 0.0
+        self._last_arrival = 0.0
         links.connections[self] = None
 
     async def read(self, max_bytes: int) -> bytes:
-        """Up to `max_bytes` bytes; none at the end of the stream."""
-        while not self._inbox and not self._fin and not self._rst and not self._closed:
-            self._news.clear()
-            await self._news.wait()
-        if self._rst:
-            raise ConnectionResetError("reset by the other side")
-        data = bytes(self._inbox[:max_bytes])
-        del self._inbox[:max_bytes]
+        """Read up to `max_bytes` bytes; returns none at the end of the stream."""
+        while not self._received and not self._eof and not self._was_reset and not self._closed:
+            self._changed.clear()
+            await self._changed.wait()
+        if self._was_reset:
+            raise ConnectionResetError("connection reset by the peer")
+        data = bytes(self._received[:max_bytes])
+        del self._received[:max_bytes]
         return data
 
     async def write(self, data: bytes) -> None:
-        """Send bytes, after the delay of the way."""
-        if self._rst or self._closed:
-            raise ConnectionResetError("the pipe is closed")
-        if self.here.dead or not data:
+        """Send bytes; they arrive after the delay of the link."""
+        if self._was_reset or self._closed:
+            raise ConnectionResetError("the connection is closed")
+        if self.local.dead or not data:
             return
         self._queue.append(bytes(data))
-        self.pump()
+        self.flush()
 
     def close(self) -> None:
-        """Close it; the other end reads what was sent before, then the end."""
+        """Close this end; the peer reads what was sent before, then the end of the stream."""
         if self._closed:
             return
         self._closed = True
-        self._news.set()
-        if not self.here.dead:
+        self._changed.set()
+        if not self.local.dead:
             self._queue.append(None)
-            self.pump()
-        # What a cut holds back still leaves once the cut is healed.
-        if not self._queue or self.here.dead:
+            self.flush()
+        # Data queued behind a cut is still sent once the cut is healed.
+        if not self._queue or self.local.dead:
             self._links.connections.pop(self, None)
 
     def ended(self) -> bool:
-        """Whether it is over or holds bytes that nobody asked for."""
-        return self._closed or self._fin or self._rst or bool(self._inbox)
+        """Whether the stream is over or has bytes that nobody asked for."""
+        return self._closed or self._eof or self._was_reset or bool(self._received)
 
-    def pump(self) -> None:
-        """Move what is queued on to the other end, unless the wire is cut."""
-        if self.peer is None or not self._links.open(self.here.name, self.there.name):
+    def flush(self) -> None:
+        """Send the queued data to the peer, unless the link is cut."""
+        if self.peer is None or not self._links.can_send(self.local.name, self.remote.name):
             return
         while self._queue:
-            part = self._queue.popleft()
-            span = self._links.delay(self.here.name, self.there.name)
-            # Timers of one moment run in any order, but a pipe keeps its own.
-            at = max(self._last + 1e-6, self._links.loop.time() + span)
-            self._last = at
-            self._links.sent(self.here.name, self.there.name, len(part or b""))
-            self._links.loop.call_at(at, self.peer.arrive, part, context=loops.EMPTY)
-
-    def arrive(self, part: bytes | None) -> None:
-        """Take in what the other end sent, or its end."""
-        if self._closed or self.here.dead:
-            # Nobody is there: the sender learns it by a reset.
-            known = self._links.both(self.here.name, self.there.name)
-            if part is not None and self.peer is not None and known:
+            chunk = self._queue.popleft()
+            delay_s = self._links.delay(self.local.name, self.remote.name)
+            # Timers of the same instant run in any order, but a connection keeps its bytes in order.
+            arrives_at = max(self._last_arrival + 1e-6, self._links.loop.time() + delay_s)
+            self._last_arrival = arrives_at
+            self._links.count_bytes(self.local.name, self.remote.name, len(chunk or b""))
+            self._links.loop.call_at(arrives_at, self.peer.receive, chunk, context=loops.EMPTY_CONTEXT)
+
+    def receive(self, chunk: bytes | None) -> None:
+        """Receive data from the peer, or the end of its stream for `None`."""
+        if self._closed or self.local.dead:
+            # Nobody reads at this end any more: the sender gets a reset.
+            can_answer = self._links.connected(self.local.name, self.remote.name)
+            if chunk is not None and self.peer is not None and can_answer:
                 self.peer.reset()
             return
-        if part is None:
-            self._fin = True
+        if chunk is None:
+            self._eof = True
         else:
-            self._inbox += part
-        self._news.set()
+            self._received += chunk
+        self._changed.set()
 
     def reset(self) -> None:
-        """End both ends at once, as far as the wire lets the other know."""
+        """End this end at once, and the peer too if the link lets the reset pass."""
         self._links.connections.pop(self, None)
         peer = self.peer
-        if peer is not None and not peer._rst and self._links.open(self.here.name, self.there.name):
-            peer._rst = True
-            peer._news.set()
+        if (
+            peer is not None
+            and not peer._was_reset
+            and self._links.can_send(self.local.name, self.remote.name)
+        ):
+            peer._was_reset = True
+            peer._changed.set()
             self._links.connections.pop(peer, None)
-        self._rst = True
-        self._news.set()
+        self._was_reset = True
+        self._changed.set()
 
 
 class SimListener:
-    """Takes pipes for one address until closed."""
+    """Accepts connections at one address until it is closed."""
 
     def __init__(self, links: SimulatedLinks, address: str) -> None:
         self._links = links
@@ -212,20 +224,20 @@
         self._host = host
 
     async def connect(self, address: ports.Address, timeout_s: float) -> ports.Connection:
-        """Connect within `timeout_s` seconds, by the delay of the way and its cuts."""
-        # As a real network does, rather than wait for what is nowhere.
+        """Connect within `timeout_s` seconds, subject to the delays and cuts of the link."""
+        # A malformed address raises at once, as on a real network, instead of timing out.
         ports.address_of(address)
         links, me = self._links, self._host
         async with asyncio.timeout(timeout_s):
-            home = links.homes.get(address)
-            there = home.name if home is not None else "nowhere"
-            await asyncio.sleep(links.delay(me.name, there))
-            # Silence, not a refusal: the packets go nowhere until a cut is healed.
-            while home is None or not links.both(me.name, there):
+            target_host = links.hosts_by_address.get(address)
+            remote = target_host.name if target_host is not None else "nowhere"
+            await asyncio.sleep(links.delay(me.name, remote))
+            # There is no answer, not a refusal: packets are dropped until the cut is healed.
+            while target_host is None or not links.connected(me.name, remote):
                 await asyncio.sleep(0.05)
-                home = links.homes.get(address)
-                there = home.name if home is not None else "nowhere"
-            await asyncio.sleep(links.delay(there, me.name))
+                target_host = links.hosts_by_address.get(address)
+                remote = target_host.name if target_host is not None else "nowhere"
+            await asyncio.sleep(links.delay(remote, me.name))
             found = links.listeners.get(address)
             if found is None or found[0].dead:
                 raise ConnectionRefusedError(address)
@@ -233,7 +245,7 @@
             mine, theirs = SimConnection(links, me, host), SimConnection(links, host, me)
             mine.peer, theirs.peer = theirs, mine
             context = contextvars.Context()
-            context.run(loops.HOST.set, host)
+            context.run(loops.CURRENT_HOST.set, host)
             links.loop.create_task(_serve(serve, theirs), context=context)
         return mine
 
@@ -241,7 +253,7 @@
         """Accept connections at an address."""
         listener = SimListener(self._links, address)
 
-        async def kept(connection: ports.Connection) -> None:
+        async def tracked_serve(connection: ports.Connection) -> None:
             assert isinstance(connection, SimConnection)
             listener.connections[connection] = None
             try:
@@ -250,9 +262,9 @@
                 listener.connections.pop(connection, None)
 
         if address in self._links.listeners and not self._links.listeners[address][0].dead:
-            raise OSError(f"{address} is taken")
-        self._links.listeners[address] = (self._host, kept)
-        self._links.homes[address] = self._host
+            raise OSError(f"{address} is already in use")
+        self._links.listeners[address] = (self._host, tracked_serve)
+        self._links.hosts_by_address[address] = self._host
         return listener
 
 
--- a/packages/simulator/src/dykeswitch/simulator/observations.py
+++ b/packages/simulator/src/dykeswitch/simulator/observations.py
@@ -1,26 +1,26 @@
-"""What is observed of a fleet: operators' orders and reads, times handed on, layouts carried."""
+"""Observations of a fleet: operators' orders and reads, time budgets, and the proxies' layouts."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(slots=True)
 class LayoutPut:
-    """One sending of an operator's order, and what came of it."""
+    """One attempt to send an operator's order, and its result."""
 
     started_at: float
     body: str
     match: int | None
     ended_at: float = 0.0
-    # What the operator was told; 0 where no answer came.
+    # The status that the operator received; 0 if there was no answer.
     status: int = 0
     version: int = 0
-    # The status of an answer that was lost on its way: the operator never learns of it.
+    # The status of an answer that was lost on its way; the operator never received it.
     lost_status: int = 0
 
 
 @dataclasses.dataclass(slots=True)
 class LayoutRead:
-    """An operator's read, and what it brought."""
+    """An operator's read of the layout, and its result."""
 
     started_at: float
     ended_at: float = 0.0
@@ -31,18 +31,18 @@
 
 @dataclasses.dataclass(slots=True)
 class TimeBudget:
-    """For how long an endpoint was told that it may work on a request, in seconds."""
+    """The time that an endpoint was given for a request, as `duration_s` from the moment `at`."""
 
     at: float
     request_id: str
-    span_s: float
-    # Whether no link was in trouble, so that it came when it was sent.
+    duration_s: float
+    # Whether all links were stable, so that the request arrived without a long delay.
     links_stable: bool
 
 
 @dataclasses.dataclass(slots=True)
 class Sample:
-    """What one proxy carried at one moment."""
+    """The layout version that one proxy had at one moment, and whether it was ready."""
 
     at: float
     proxy: str
--- a/packages/simulator/src/dykeswitch/simulator/scenario.py
+++ b/packages/simulator/src/dykeswitch/simulator/scenario.py
@@ -1,4 +1,4 @@
-"""A day: a fleet with traffic, some faults one after another, then calm and a verdict."""
+"""A day: a fleet with traffic, faults one after another, a time without faults, and a verdict."""
 
 import asyncio
 import dataclasses
@@ -15,18 +15,18 @@
 import dykeswitch.standin.shape as shapes
 
 FAULTS: typing.Final = faulty.FAULTS
-# Days that the gateway does not hold yet, run only by who names them.
+# Faults that the gateway does not withstand yet; they are run only if they are named.
 KNOWN_FAILING: typing.Final = faulty.KNOWN_FAILING
 ALL: typing.Final = {**FAULTS, **KNOWN_FAILING}
-# Before this the fleet is young: not every duty has its owner yet.
+# Until so many seconds after its start a fleet has not assigned all slots yet.
 SETTLED_S: typing.Final = 11.0
-# Requests a second that each layout sends elsewhere.
+# Route checks per second: requests that each new layout sends to another service.
 ROUTE_CHECKS_PER_S: typing.Final = 12.0
 
 
 @dataclasses.dataclass(slots=True)
 class Verdict:
-    """What came of one day."""
+    """The result of one day."""
 
     seed: int
     shape: str
@@ -35,9 +35,9 @@
     figures: dict[str, typing.Any]
     notes: list[tuple[float, str]]
     excuses: dict[str, int] = dataclasses.field(default_factory=dict)
-    # For each fault, after how many seconds the last request failed once it was over.
+    # For each fault, how many seconds after its end the last request failed.
     back_s: dict[str, float] = dataclasses.field(default_factory=dict)
-    # Of the whole recorded history: the same from the same shape, seed, faults and scale.
+    # A hash of the whole recorded history: the same shape, seed, faults and scale give the same hash.
     digest: str = ""
 
 
@@ -50,58 +50,58 @@
     tail: float = 20.0,
     bounds: dict[str, typing.Any] | None = None,
 ) -> Verdict:
-    """A fleet with traffic, some faults one after another, then calm."""
+    """Run a fleet with traffic through the faults, one after another, then `tail` seconds without any."""
     sealed = not faulty.SEALED.isdisjoint(faults)
     fleet = fleets.SimFleet(shape, seed, scratch, scale, bounds, check_routes=True, sealed=sealed)
     stage = stages.Stage(fleet, random.Random(seed + 3))
-    up = await fleet.start()
+    startup_s = await fleet.start()
     await asyncio.sleep(SETTLED_S)
     traffic = fleet.spawn(fleet.clients.run_traffic(100000.0, scale))
     route_checks = fleet.spawn(fleet.clients.check_routes_forever(ROUTE_CHECKS_PER_S))
     await asyncio.sleep(1.0)
-    base = leaks.count(fleet)
-    spans: list[tuple[str, float, float]] = []
+    baseline = leaks.count(fleet)
+    fault_times: list[tuple[str, float, float]] = []
     for name in faults:
         stage.note(name)
-        begun = stage.now
+        started_at = stage.now
         await ALL[name](stage)
-        spans.append((name, begun, stage.now))
+        fault_times.append((name, started_at, stage.now))
         await asyncio.sleep(1.0)
     faults_ended_at = stage.now
     await asyncio.sleep(tail)
     fleet.clients.stop_sending()
     await asyncio.gather(traffic, route_checks)
-    story = stage.story
-    story.read_back = [await fleet.get(core) for core in fleet.cores]
-    story.requests = list(fleet.record.requests.values())
-    story.route_checks = fleet.record.route_checks
-    story.executions = dict(fleet.record.executions)
-    story.execution_starts = dict(fleet.record.execution_starts)
-    story.arrivals, story.misdirected = fleet.arrivals, fleet.misdirected
-    story.time_budgets = fleet.budgets
-    story.owners = {n: e.service for n, e in fleet.endpoints.items()}
-    story.left = fleet.left
-    story.puts, story.reads, story.samples = fleet.puts, fleet.reads, fleet.samples
-    story.faults_ended_at, story.end = faults_ended_at, stage.now
-    # Long enough for what the last exchanges left behind to be put away.
+    history = stage.story
+    history.read_back = [await fleet.get(core) for core in fleet.cores]
+    history.requests = list(fleet.record.requests.values())
+    history.route_checks = fleet.record.route_checks
+    history.executions = dict(fleet.record.executions)
+    history.execution_starts = dict(fleet.record.execution_starts)
+    history.arrivals, history.misdirected = fleet.arrivals, fleet.misdirected
+    history.time_budgets = fleet.budgets
+    history.owners = {n: e.service for n, e in fleet.endpoints.items()}
+    history.left = fleet.left
+    history.puts, history.reads, history.samples = fleet.puts, fleet.reads, fleet.samples
+    history.faults_ended_at, history.end = faults_ended_at, stage.now
+    # Leave enough time to clean up after the last exchanges.
     await asyncio.sleep(2.0)
-    story.leaks = leaks.grown(base, leaks.count(fleet))
+    history.leaks = leaks.grown(baseline, leaks.count(fleet))
     for node in fleet.world.nodes.values():
         if node.crash:
-            story.crashes.append(f"{node.name}: {node.crash}")
-    figures = clients.summarize(fleet.record, story.expiry_s)
-    figures["up_s"] = round(up, 2)
-    figures["floor_used"] = round(histories.floor_used(story), 1)
+            history.crashes.append(f"{node.name}: {node.crash}")
+    figures = clients.summarize(fleet.record, history.expiry_s)
+    figures["up_s"] = round(startup_s, 2)
+    figures["floor_used"] = round(histories.floor_used(history), 1)
     figures["hits"] = len(fleet.arrivals)
-    figures["roves"] = len(story.route_checks)
+    figures["roves"] = len(history.route_checks)
     return Verdict(
         seed,
         shape.name,
         list(faults),
-        histories.judge(story),
+        histories.judge(history),
         figures,
         stage.notes,
-        histories.excuses(story),
-        histories.back_by_fault(story, spans),
-        histories.digest(story),
+        histories.excuses(history),
+        histories.back_by_fault(history, fault_times),
+        histories.digest(history),
     )
--- a/packages/simulator/src/dykeswitch/simulator/stage.py
+++ b/packages/simulator/src/dykeswitch/simulator/stage.py
@@ -1,4 +1,4 @@
-"""The stage: one running fleet, what is done to it, and the history that is judged."""
+"""The stage: one running fleet, helpers for fault injection, and the history that is checked."""
 
 import asyncio
 import contextlib
@@ -18,12 +18,12 @@
 import dykeswitch.standin.shape as shapes
 
 Fault = typing.Callable[["Stage"], typing.Awaitable[None]]
-# For how long the platform may go on sending to a machine that is gone.
+# For how many seconds the platform may still send requests to a machine that is down.
 PLATFORM_S: typing.Final = 1.5
 
 
 class Stage:
-    """One fleet under one day of faults."""
+    """One fleet, and the record of the faults of one day."""
 
     def __init__(self, fleet: fleets.SimFleet, rng: random.Random) -> None:
         self.fleet = fleet
@@ -45,13 +45,13 @@
         self.notes.append((round(self.now, 3), text))
 
     def report_failure(self, text: str) -> None:
-        """Something that no check of the history would see."""
+        """Record a failure that no check of the history would find."""
         self.story.crashes.append(f"{text}, at {self.now:.2f}")
 
     # Layouts.
 
     def layout(self) -> dict[str, typing.Any]:
-        """A layout like the standing one, but that it sends some requests elsewhere."""
+        """Return a new layout that differs from all before: it sends some requests to other services."""
         self.marker += 1
         doc = shapes.rotating_layout(copy.deepcopy(self.fleet.shape.layout()), self.marker)
         doc["rules"].append({"path": f"/marker-{self.marker}", "service": self.fleet.shape.services[0].name})
@@ -69,15 +69,15 @@
         return doc
 
     async def change(self, core: machines.Core | None = None) -> observations.LayoutPut:
-        """One more layout, by some core."""
+        """Send a new layout to a given or a random core."""
         return await self.fleet.put(self.layout(), core or self.core())
 
     def operator(self, **conditions: float) -> operators.Operator:
-        """One more operator, whose orders and answers may be lost or come twice."""
+        """Create an operator whose answers may be lost and whose orders may arrive twice."""
         rng = random.Random(self.rng.getrandbits(64))
         return operators.Operator(self.fleet, rng, self.layout, operators.Conditions(**conditions))
 
-    # Who there is.
+    # Machines and endpoints.
 
     def core(self) -> machines.Core:
         return self.rng.choice(self.fleet.cores)
@@ -95,9 +95,9 @@
         return [e.node.name for e in self.fleet.edges]
 
     def live_endpoints(self, service: str = "") -> list[str]:
-        """Endpoints at work, but for those by which layouts are told apart."""
+        """Return the running endpoints, without those of the route checks."""
         fleet = self.fleet
-        kept = {s.name for s in fleet.slots}
+        route_check_services = {s.name for s in fleet.slots}
         return sorted(
             n
             for n, e in fleet.endpoints.items()
@@ -105,39 +105,39 @@
             and not fleet.hosts[n].dead
             and n not in fleet.left
             and service in ("", e.service)
-            and e.service not in kept
+            and e.service not in route_check_services
         )
 
     def new_endpoint(
         self, service: shapes.ServiceShape, address: str, silent_s: float = 0.0, **changes: typing.Any
     ) -> str:
-        """One more endpoint; its nature is its service's, but for what is changed."""
+        """Start a new endpoint with its service's profile, except for the given changes."""
         self.fresh += 1
         name = f"{service.name}-new{self.fresh}"
-        made = self.fleet.endpoint(name, service, address, self.fresh)
-        made.profile = dataclasses.replace(made.profile, **changes)
-        self.fleet.wake(made, silent_s)
+        created = self.fleet.endpoint(name, service, address, self.fresh)
+        created.profile = dataclasses.replace(created.profile, **changes)
+        self.fleet.start_endpoint(created, silent_s)
         return name
 
     def some_of(self, service: str, part: float) -> list[str]:
-        """A part of a service's endpoints, by lot."""
+        """Return a random sample of a service's endpoints, at least one; `part` is its share."""
         names = self.live_endpoints(service)
         return self.rng.sample(names, max(1, round(len(names) * part)))
 
     def any_service(self) -> shapes.ServiceShape:
         return self.rng.choice(self.fleet.shape.services)
 
-    # How endpoints and callers are for a while.
+    # Temporary behavior of endpoints and clients.
 
     @contextlib.contextmanager
     def with_profile(self, names: typing.Sequence[str], **changes: typing.Any) -> typing.Iterator[None]:
-        """Endpoints of another nature; their pace is taken times the one given."""
+        """Change the profile of endpoints meanwhile; a given pace multiplies their own."""
         before: dict[str, profiles.EndpointProfile] = {}
         for name in names:
             endpoint = self.fleet.endpoints[name]
             before[name] = old = endpoint.profile
-            fresh = {**changes, "pace": old.pace * changes.get("pace", 1.0)}
-            endpoint.profile = dataclasses.replace(old, **fresh)
+            new_values = {**changes, "pace": old.pace * changes.get("pace", 1.0)}
+            endpoint.profile = dataclasses.replace(old, **new_values)
         yield
         for name, old in before.items():
             self.fleet.endpoints[name].profile = old
@@ -146,7 +146,7 @@
     def with_fault_plan(
         self, names: typing.Sequence[str], fault: str, share: float = 1.0, **more: bool
     ) -> typing.Iterator[None]:
-        """Endpoints that fail in one way."""
+        """Let endpoints fail in one way meanwhile, for a share of their requests."""
         for name in names:
             plan = self.fleet.endpoints[name].plan
             plan.fault, plan.share = fault, share
@@ -158,43 +158,43 @@
 
     @contextlib.contextmanager
     def with_behavior(self, **behavior: typing.Any) -> typing.Iterator[None]:
-        """Callers who come in another manner."""
-        clients_of = self.fleet.clients
-        before = clients_of.behavior
-        clients_of.behavior = clients.ClientBehavior(**behavior)
+        """Change the behavior of all clients meanwhile."""
+        fleet_clients = self.fleet.clients
+        before = fleet_clients.behavior
+        fleet_clients.behavior = clients.ClientBehavior(**behavior)
         yield
-        clients_of.behavior = before
+        fleet_clients.behavior = before
 
     @contextlib.contextmanager
     def failing(self, *services: str) -> typing.Iterator[None]:
-        """Services of which no endpoint, or too few, can answer meanwhile."""
-        begun = self.now
+        """Record services as failing: meanwhile none, or too few, of their endpoints can answer."""
+        started_at = self.now
         yield
-        self.story.failing += [histories.Span(name, begun, self.now) for name in services]
+        self.story.failing += [histories.Span(name, started_at, self.now) for name in services]
 
     def shape_of(self, service: str) -> shapes.ServiceShape:
         return next(s for s in self.fleet.shape.services if s.name == service)
 
-    # Machines that go and come.
+    # Machines that stop and start.
 
-    def mark_gone(self, edges: typing.Iterable[machines.Edge], begun: float) -> None:
-        """Proxies were gone or frozen until now: what callers lost by it is excused."""
+    def mark_gone(self, edges: typing.Iterable[machines.Edge], started_at: float) -> None:
+        """Record that proxies were down or frozen until now: requests that failed by it are excused."""
         for edge in edges:
-            span = histories.Span(edge.web, begun, self.now + PLATFORM_S)
-            self.story.gone.append(span)
+            outage = histories.Span(edge.web, started_at, self.now + PLATFORM_S)
+            self.story.gone.append(outage)
 
     async def stop(self, node: worlds.Node) -> float:
-        """An orderly stop; how long it took. Needing the hard signal is a flaw."""
-        begun = self.now
+        """Stop a program and return the seconds it took; it is a failure if it has to be killed."""
+        started_at = self.now
         if not await node.stop(histories.GRACE_S):
-            self.report_failure(f"{node.name} had to be killed after its grace")
-        return self.now - begun
+            self.report_failure(f"{node.name} had to be killed after its grace period")
+        return self.now - started_at
 
     async def wait_until_all_vote(self) -> None:
-        """Wait until every living store has a seat in one and the same set."""
+        """Wait until every store votes in the same member set, with no change of members under way."""
         cores = self.fleet.cores
 
-        def so() -> bool:
+        def all_vote() -> bool:
             if any(c.store.daemon is None or not c.store.up for c in cores):
                 return False
             voters = [c.store.daemon.voter for c in cores]
@@ -202,15 +202,15 @@
                 len({v.members.epoch for v in voters}) == 1
             )
 
-        begun = self.now
+        started_at = self.now
         try:
-            await self.fleet.until(so, 15, "every store seated")
-            self.note(f"seated after {self.now - begun:.2f} s")
+            await self.fleet.until(all_vote, 15, "every store votes in the same member set")
+            self.note(f"all stores vote after {self.now - started_at:.2f} s")
         except TimeoutError:
-            self.report_failure(f"a store was not seated within 15 s of {begun:.2f}")
+            self.report_failure(f"a store had no vote within 15 s of {started_at:.2f}")
 
     def new_core(self, old: machines.Core, seeds: tuple[str, ...] = ()) -> machines.Core:
-        """An empty core at a new address, the old seeds in its settings, for one that is gone."""
+        """Replace a core that is down by an empty one at a new address; its settings have the old seeds."""
         fleet = self.fleet
         fleet.cores.remove(old)
         self.fresh += 1
@@ -221,11 +221,11 @@
         core.registry.start()
         return core
 
-    # Callers that hold on.
+    # Clients that ignore readiness.
 
-    async def keep_sending(self, edge: machines.Edge, span: float) -> None:
-        """Callers that come to one proxy all the time, whatever the platform or it may say."""
-        end = self.now + span
+    async def keep_sending(self, edge: machines.Edge, duration_s: float) -> None:
+        """Send requests to one proxy for a while, whatever the platform or its readiness says."""
+        end = self.now + duration_s
         services = self.fleet.shape.services
         async with asyncio.TaskGroup() as group:
             while self.now < end:
--- a/packages/simulator/src/dykeswitch/simulator/whatif.py
+++ b/packages/simulator/src/dykeswitch/simulator/whatif.py
@@ -109,7 +109,7 @@
             for node in nodes:
                 node.restart()
             for name in names:
-                self._fleet.wake(self._fleet.endpoints[name])
+                self._fleet.start_endpoint(self._fleet.endpoints[name])
 
 
 async def _one(
--- a/packages/simulator/src/dykeswitch/simulator/world.py
+++ b/packages/simulator/src/dykeswitch/simulator/world.py
@@ -1,4 +1,4 @@
-"""The simulated world: machines that start, freeze, lose power and come back."""
+"""Simulated machines that start, freeze, crash, lose power and restart."""
 
 import asyncio
 import contextvars
@@ -17,11 +17,11 @@
 
 
 class ProcessKilled(BaseException):
-    """A fault point took the machine down; nothing may catch it."""
+    """A fault point has ended the process; the programs must not catch this."""
 
 
 class SimClock:
-    """The loop's time, and a wall clock that can be made to jump."""
+    """The loop's time, and a wall clock whose offset `jump` a test can change."""
 
     def __init__(self, loop: loops.VirtualLoop) -> None:
         self._loop = loop
@@ -38,7 +38,7 @@
 
 
 class SimFaultPoints:
-    """Numbered points; a test arms one of them with what is to happen there."""
+    """Numbered fault points; a test arms one with a function to call when it is next passed."""
 
     def __init__(self) -> None:
         self.passed: dict[int, int] = {}
@@ -52,7 +52,7 @@
 
 
 class Daemon(typing.Protocol):
-    """A program as the world runs it."""
+    """A program that a simulated machine can run."""
 
     async def run(self) -> None: ...
 
@@ -88,9 +88,9 @@
         self.daemon = None
         host = self.host
         context = contextvars.Context()
-        context.run(loops.HOST.set, host)
+        context.run(loops.CURRENT_HOST.set, host)
         links = self.world.links
-        links.off.discard(self.name)
+        links.powered_off.discard(self.name)
         machine = ports.Machine(
             self.clock, nets.SimNetwork(links, host), webs.SimWeb(links, host), self.fault_points
         )
@@ -102,26 +102,26 @@
             self.daemon = self.build(machine, log, rng)
             try:
                 await self.daemon.run()
-            except BaseException as flaw:
-                # A program that dies by itself is a finding: the checker asks.
+            except BaseException as error:
+                # A program that ends by an error of its own is recorded, and the checker reports it.
                 if not host.dead:
-                    self.crash = f"{type(flaw).__name__}: {flaw}"
+                    self.crash = f"{type(error).__name__}: {error}"
                     host.dead = True
                     links.reset_host(self.name)
-                if isinstance(flaw, ProcessKilled | asyncio.CancelledError | KeyboardInterrupt):
+                if isinstance(error, ProcessKilled | asyncio.CancelledError | KeyboardInterrupt):
                     return
-                if not isinstance(flaw, Exception):
+                if not isinstance(error, Exception):
                     raise
 
         self.task = self.world.loop.create_task(main(), context=context)
 
     def kill(self) -> None:
-        """End the process at once; its system tells the other side of each pipe."""
+        """End the process at once; its operating system resets each connection."""
         if self.host.dead:
             return
         self.host.dead = True
         self.host.frozen = False
-        self.host.held.clear()
+        self.host.deferred.clear()
         links = self.world.links
         links.reset_host(self.name)
         links.listeners = {s: e for s, e in links.listeners.items() if e[0] is not self.host}
@@ -130,25 +130,25 @@
             task.cancel()
 
     def lose_power(self) -> None:
-        """The machine goes dark: nobody is told, and unsynced writes are gone."""
-        self.world.links.off.add(self.name)
+        """Switch the machine off: no peer is notified, and unsynced writes may be lost."""
+        self.world.links.powered_off.add(self.name)
         self.kill()
         if self.disk is not None and not self.disk.dead:
             self.disk.lose_power()
 
     def restart(self) -> None:
-        """Bring the machine back with what its disk still holds."""
+        """Start the machine again with what its disk still has."""
         if not self.host.dead:
             self.kill()
-        self.world.links.off.discard(self.name)
-        # Whoever still holds a pipe to the old run is told so now.
+        self.world.links.powered_off.discard(self.name)
+        # Peers that still have a connection to the previous process get a reset now.
         self.world.links.reset_host(self.name)
         if self.disk is not None:
-            self.disk = self.disk.wake()
+            self.disk = self.disk.reopen()
         self.start()
 
     def wipe(self) -> None:
-        """Swap the disk for an empty one; only while the machine is off."""
+        """Replace the disk by an empty one; allowed only while the process is down."""
         assert self.disk is not None and self.host.dead
         self.disk = disks.SimDisk(self.world.folder(), self.world.rng)
 
@@ -159,7 +159,7 @@
         self.world.loop.thaw(self.host)
 
     async def stop(self, grace_s: float) -> bool:
-        """The polite signal, then the hard one after the grace; true if it was not needed."""
+        """Stop the program, and kill it after the grace period; returns whether it stopped by itself."""
         assert self.task is not None
         self.daemon.stop()
         done, _ = await asyncio.wait([self.task], timeout=grace_s)
@@ -172,7 +172,7 @@
 
 
 class World:
-    """All machines, the wires between them, and one source of chance."""
+    """All machines, the links between them, and the seeded random generators."""
 
     def __init__(self, seed: int, scratch: pathlib.Path) -> None:
         loop = asyncio.get_running_loop()
@@ -184,22 +184,22 @@
         self.nodes: dict[str, Node] = {}
         self.events: list[dict[str, typing.Any]] = []
         self._scratch = scratch
-        self._folders = 0
-        self._ports = 0
+        self._folder_count = 0
+        self._address_count = 0
 
     def log(self, line: dict[str, typing.Any]) -> None:
         self.events.append({**line, "at": round(self.loop.time(), 4)})
 
     def folder(self) -> pathlib.Path:
-        self._folders += 1
-        path = self._scratch / f"disk{self._folders}"
+        self._folder_count += 1
+        path = self._scratch / f"disk{self._folder_count}"
         path.mkdir()
         return path
 
     def address(self) -> ports.Address:
-        """A fresh address."""
-        self._ports += 1
-        return ports.address_of(f"10.1.{self._ports // 250}.{self._ports % 250 + 1}:7000")
+        """Return an address that is not in use."""
+        self._address_count += 1
+        return ports.address_of(f"10.1.{self._address_count // 250}.{self._address_count % 250 + 1}:7000")
 
     def add(self, program: str, name: str, build: Build) -> Node:
         node = Node(self, program, name, build)
@@ -207,7 +207,7 @@
         return node
 
     def machine_for(self, name: str) -> ports.Machine:
-        """The ports of a machine that runs no program of ours."""
+        """Return the ports of a machine that runs none of the gateway's programs."""
         host = loops.Host(name)
         return ports.Machine(
             SimClock(self.loop),
--- a/packages/simulator/src/dykeswitch/simulator/worth.py
+++ b/packages/simulator/src/dykeswitch/simulator/worth.py
@@ -77,7 +77,7 @@
     for endpoint in fleet.endpoints.values():
         counts.update(endpoint.counts)
         counts["runs"] += endpoint.execution_count
-    for (one, two), size in fleet.world.links.crossed.items():
+    for (one, two), size in fleet.world.links.bytes_between_zones.items():
         if one in fleet.endpoints or two in fleet.endpoints:
             data = {one, two} & {e.node.name for e in fleet.edges}
             counts["between_zones" if data else "between_zones_beats_and_probes"] += size
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -254,7 +254,7 @@
         layout = fleet.shape.layout()
         for n in range(MANY_RULES):
             layout["rules"].append({**layout["rules"][0], "name": f"more-{n}", "path": f"/more-{n}"})
-        crossed = fleet.world.links.crossed
+        crossed = fleet.world.links.bytes_between_zones
         edges = [edge.node.name for edge in fleet.edges]
 
         def to_edges() -> int:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -51,7 +51,7 @@
 import dykeswitch.simulator.scenario as scenarios
 import dykeswitch.standin.shape as shapes
 name, scale, part, scratch = sys.argv[1:]
-shape = shapes.SHAPES[name].smaller(float(part))
+shape = shapes.SHAPES[name].scaled_down(float(part))
 faults = ("kill_herd", "race_operators")
 print(loops.run(scenarios.day(shape, 5, pathlib.Path(scratch), faults, float(scale), 1.0)).digest)
 """
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -187,7 +187,7 @@
             for one in nodes:
                 told = one.daemon.timeline.entries_since(0)
                 for two in nodes:
-                    if one is not two and self.world.links.both(one.name, two.name):
+                    if one is not two and self.world.links.connected(one.name, two.name):
                         two.daemon.timeline.merge(told)
 
     def most_over(self) -> float:
@@ -277,7 +277,7 @@
     def undo() -> None:
         town.world.links.cuts -= {(one, two), (two, one)}
         for connection in list(town.world.links.connections):
-            connection.pump()
+            connection.flush()
 
     return undo
 
--- a/tests/test_many_changes.py
+++ b/tests/test_many_changes.py
@@ -122,7 +122,7 @@
     files = [path for path in disk.root.rglob("*") if path.is_file()]
     on_disk = sum(path.stat().st_size for path in files)
     disk.lose_power(lambda options: 0)
-    woken = disk.wake()
+    woken = disk.reopen()
     gc.collect()
     tracemalloc.start()
     voter = await _open(woken)
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -208,7 +208,7 @@
         def lone() -> None:
             # The accept reaches one disk alone.
             links.cut(["outside"], ["store1", "store2"])
-            bench.world.loop.call_later(2.5, links.heal, context=loops.EMPTY)
+            bench.world.loop.call_later(2.5, links.heal, context=loops.EMPTY_CONTEXT)
 
         bench.outside.fault_points.armed[proposers.POINT_BEFORE_ACCEPT] = lone  # type: ignore[attr-defined]
         result = await first.change("k", conditional)
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -88,7 +88,7 @@
             def die() -> None:
                 died.append(node.name)
                 node.kill()
-                fleet.world.loop.call_later(1.0, node.restart, context=loops.EMPTY)
+                fleet.world.loop.call_later(1.0, node.restart, context=loops.EMPTY_CONTEXT)
 
             node.fault_points.armed[point] = die
 
@@ -151,7 +151,7 @@
     def dark() -> None:
         died.append(point)
         node.lose_power()
-        fleet.world.loop.call_later(1.0, node.restart, context=loops.EMPTY)
+        fleet.world.loop.call_later(1.0, node.restart, context=loops.EMPTY_CONTEXT)
         raise OSError("power")
 
     node.fault_points.armed[point] = dark
--- a/tests/test_stalled_disk.py
+++ b/tests/test_stalled_disk.py
@@ -108,7 +108,7 @@
         assert await lone.keys() == ("k", "other")
         assert (await lone.state())["seated"]
         assert asyncio.get_running_loop().time() == begun
-        disk.flow()
+        disk.resume()
         await write
         assert (await lone.read()).value == NEW
 
@@ -136,7 +136,7 @@
         assert loop.time() == begun
         assert disk.waiting == 1
         syncs = disk.syncs
-        disk.flow()
+        disk.resume()
         await write
         # One write of three files and two folders, with the folder of the key: no backlog.
         assert disk.syncs - syncs <= 6
@@ -159,11 +159,11 @@
         vote = asyncio.create_task(lone.promise(5))
         await asyncio.sleep(0.3)
         assert not vote.done()
-        disk.flow()
+        disk.resume()
         await vote
         rng = random.Random(seed)
         disk.lose_power(rng.randrange)
-        woken = Lone(disk.wake())
+        woken = Lone(disk.reopen())
         await woken.voter.open()
         assert woken.voter.disk_id == lone.voter.disk_id
         late = messages.Accept("k", (4, "p"), NEW, 1, woken.voter.disk_id)
@@ -178,11 +178,11 @@
         lone = Lone(disk)
         await lone.start()
         await lone.accept(1, OLD)
-        disk.spoilt = {"sync_file": "no space left on device"}
+        disk.step_errors = {"sync_file": "no space left on device"}
         assert await lone.refusal(lone.prepare(2)) == "disk_fault"
         assert (await lone.state())["damaged"] == "no space left on device"
         assert (await lone.read()).value == OLD
-        disk.spoilt = {}
+        disk.step_errors = {}
         assert (await lone.promise(2)).value == OLD
         assert (await lone.state())["damaged"] == ""
 
@@ -196,9 +196,9 @@
         lone = Lone(disk)
         await lone.start()
         await lone.accept(1, OLD)
-        disk.spoilt = {step: "input/output error"}
+        disk.step_errors = {step: "input/output error"}
         assert await lone.refusal(lone.prepare(2)) == "disk_fault"
-        disk.spoilt = {}
+        disk.step_errors = {}
         assert await lone.refusal(lone.prepare(2)) == "disk_fault"
         assert await lone.refusal(messages.Read("k", 1, lone.voter.disk_id)) == "disk_fault"
 
@@ -227,7 +227,7 @@
                 took.append(loop.time() - begun)
                 assert disk.waiting <= 8
             slowest[core.store.name] = max(took)
-            disk.flow()
+            disk.resume()
             await fleet.until(lambda: len(_ballots(fleet)) == 1, 20, "all copies the same")
         assert max(slowest.values()) < 0.8, slowest
 
@@ -260,12 +260,12 @@
         store = fleet.cores[0].store
         store.kill()
         assert store.disk is not None
-        store.disk = store.disk.wake()
-        store.disk.spoilt = {"sync_folder": "input/output error"}
+        store.disk = store.disk.reopen()
+        store.disk.step_errors = {"sync_folder": "input/output error"}
         store.start()
         await asyncio.sleep(2.0)
         assert not store.crash
-        store.disk.spoilt = {}
+        store.disk.step_errors = {}
         await fleet.until(lambda: store.daemon.voter.has_vote(), 5, "the store")
 
     loops.run(main())
@@ -327,7 +327,7 @@
         write.cancel()
         with contextlib.suppress(asyncio.CancelledError):
             await write
-        disk.flow()
+        disk.resume()
         assert await lone.refusal(lone.prepare(3)) == "disk_fault"
         assert (await lone.state())["damaged"] == "a write was cut off"
 
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -82,7 +82,7 @@
         setattr(self.disk, kind, sync)
 
     def restart(self) -> None:
-        self.disk = self.disk.wake()
+        self.disk = self.disk.reopen()
 
     def put_and_stop_at(self, opened: storage.Storage, point: int, record: object) -> None:
         """A write whose process ends at a numbered point."""
@@ -283,10 +283,10 @@
     opened, _ = case.open()
     opened.put(KEY, 1)
     for step in ("sync_file", "sync_folder"):
-        case.disk.spoilt = {step: "no space left on device"}
+        case.disk.step_errors = {step: "no space left on device"}
         with pytest.raises(storage.NotWrittenError):
             opened.put(KEY, 2)
-        case.disk.spoilt = {}
+        case.disk.step_errors = {}
         opened.put(KEY, 3)
         case.disk.lose_power(lambda options: 0)
         assert _read_after(case) == 3
@@ -299,10 +299,10 @@
     def play(choose: disks.Choose) -> None:
         case = Case(tmp_path / "disk")
         opened, _ = case.open()
-        case.disk.spoilt = {"sync_folder": "input/output error"}
+        case.disk.step_errors = {"sync_folder": "input/output error"}
         with pytest.raises(storage.NotWrittenError):
             opened.put(KEY, "vote")
-        case.disk.spoilt = {}
+        case.disk.step_errors = {}
         opened.put(KEY, "vote")
         case.disk.lose_power(choose)
         assert _read_after(case) == "vote"
@@ -314,7 +314,7 @@
     case = Case(tmp_path / "disk")
     opened, _ = case.open()
     opened.put(KEY, 1)
-    case.disk.spoilt = {"rename": "input/output error"}
+    case.disk.step_errors = {"rename": "input/output error"}
     with pytest.raises(OSError) as caught:
         opened.put(KEY, 2)
     assert not isinstance(caught.value, storage.NotWrittenError)
