--- a/packages/simulator/src/dykeswitch/simulator/faults/wires.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/wires.py
@@ -83,7 +83,7 @@
     stage.links.loss = 0.05
     stage.links.slow = dict.fromkeys(slow, 0.05)
     # A packet that was lost comes half a second late, and a call takes several.
-    stage.story.wire_s = 0.75
+    stage.story.link_delay_s = 0.75
     for _ in range(3):
         await stage.change()
         await asyncio.sleep(2.0)
--- a/packages/simulator/src/dykeswitch/simulator/fleet.py
+++ b/packages/simulator/src/dykeswitch/simulator/fleet.py
@@ -104,25 +104,23 @@
             "seeds": seeds or tuple(self.member_addresses[known_cores]),
             "founders": tuple(self.store_addresses[known_cores]),
         }
-        registry_settings = self.settings(name=name, zone=zone, member=member, web=web, store=store, **shared)
-        store_settings = self.settings(
+        registry_config = self.settings(name=name, zone=zone, member=member, web=web, store=store, **shared)
+        store_config = self.settings(
             name=f"{name}-store", zone=zone, store=store, web=world.address(), data="-"
         )
-        store_node = world.add(
+        node = world.add(
             "store",
             f"{name}-store",
-            lambda machine, log, rng: stores.Store(
-                store_settings, machine, machines.disk_of(store_node), log, rng
-            ),
+            lambda machine, log, rng: stores.Store(store_config, machine, machines.disk_of(node), log, rng),
         )
         world.links.zones |= {name: zone, f"{name}-store": zone}
-        store_node.disk = disks.SimDisk(world.folder(), world.rng)
+        node.disk = disks.SimDisk(world.folder(), world.rng)
         registry = world.add(
             "registry",
             name,
-            lambda machine, log, rng: registries.Registry(registry_settings, machine, log, rng),
+            lambda machine, log, rng: registries.Registry(registry_config, machine, log, rng),
         )
-        return machines.Core(registry, store_node, member, web, store, zone)
+        return machines.Core(registry, node, member, web, store, zone)
 
     def edge(self, name: str, n: int, web: str = "") -> machines.Edge:
         """Create an edge machine; one that is added later may take over the web address of another."""
@@ -231,8 +229,6 @@
         self._track_task(task)
         return task
 
-    # Starting.
-
     async def start(self) -> float:
         """Start all, send the layout, and wait until every proxy is ready; returns the seconds it took."""
         started_at = self.clock.now()
@@ -267,8 +263,6 @@
             await asyncio.sleep(0.02)
         return self.clock.now() - started_at
 
-    # Operators.
-
     async def put(
         self,
         layout: dict[str, typing.Any],
@@ -334,8 +328,6 @@
             await asyncio.sleep(0.1)
         raise TimeoutError("no registry accepted the layout in time")
 
-    # Observations.
-
     async def _sample(self) -> None:
         """Record the layout version and readiness of each proxy every 50 ms."""
         while True:
--- a/packages/simulator/src/dykeswitch/simulator/history/__init__.py
+++ b/packages/simulator/src/dykeswitch/simulator/history/__init__.py
@@ -1,7 +1,7 @@
-"""The checker: judges a recorded history by each point of the brief.
+"""The checker: tests a recorded history against each requirement.
 
-What was recorded is in `record`; the checks are parted by what they judge, requests,
-configurations and service as a whole.
+`record` defines the history. The checks are divided by what they judge: single requests, requests
+whose clients left, configurations, and the service as a whole.
 """
 
 import hashlib
@@ -63,11 +63,11 @@
 }
 
 
-def digest(story: History) -> str:
-    """A digest of all that was recorded, to the last bit of every moment."""
-    return hashlib.sha256(repr(story).encode()).hexdigest()
+def digest(history: History) -> str:
+    """Return a hash of the whole history, with all times in full precision."""
+    return hashlib.sha256(repr(history).encode()).hexdigest()
 
 
-def judge(story: History) -> dict[str, list[str]]:
-    """Every breach, by the point it breaks."""
-    return {name: found for name, check in CHECKS.items() if (found := check(story))}
+def judge(history: History) -> dict[str, list[str]]:
+    """Return all violations, by the name of the check that found them."""
+    return {name: found for name, check in CHECKS.items() if (found := check(history))}
--- a/packages/simulator/src/dykeswitch/simulator/realengine.py
+++ b/packages/simulator/src/dykeswitch/simulator/realengine.py
@@ -163,7 +163,7 @@
     """Bring what callers and endpoints saw into the history."""
     story, fleet = stage.story, stage.fleet
     # Processes are scheduled by the machine: what they do is seen a little later.
-    story.wire_s = WIRE_S
+    story.link_delay_s = WIRE_S
     story.arrivals, story.left = fleet.gather()
     story.requests = list(fleet.record.requests.values())
     story.route_checks = fleet.record.route_checks
--- a/packages/simulator/src/dykeswitch/simulator/soak/engine.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/engine.py
@@ -39,5 +39,5 @@
         _prepare,
     )
     story = day.stage.story
-    story.away_most = max(story.away_most, round(len(story.requests) * AWAY_SHARE))
+    story.max_turned_away = max(story.max_turned_away, round(len(story.requests) * AWAY_SHARE))
     return day
--- a/packages/simulator/src/dykeswitch/simulator/standing.py
+++ b/packages/simulator/src/dykeswitch/simulator/standing.py
@@ -78,9 +78,7 @@
         # Without an answer, or if the outcome is unknown, it may have been in force until a change that
         # was sent later was accepted.
         if put.status in (0, 504):
-            replaced_at = min(
-                (p.ended_at for p in accepted if p.started_at > put.ended_at), default=math.inf
-            )
+            replaced_at = min((p.ended_at for p in accepted if p.started_at > put.ended_at), default=math.inf)
             try:
                 found.append(Standing(None, put.started_at, replaced_at, json.loads(put.body)))
             except ValueError:
@@ -117,10 +115,15 @@
 ) -> list[str]:
     """Report requests that were refused for want of a rule while every layout in force had one."""
     return [
-        f"{a.name} ({a.method} {a.host}{a.path}) was answered {a.result} at {a.ended_at:.2f}"
-        for a in route_checks.values()
-        if a.result == 101
-        and all(s.service(a) for s in standings if s.may_be_in_force(a.started_at, a.ended_at, slack))
+        f"{request.name} ({request.method} {request.host}{request.path}) "
+        f"was answered {request.result} at {request.ended_at:.2f}"
+        for request in route_checks.values()
+        if request.result == 101
+        and all(
+            s.service(request)
+            for s in standings
+            if s.may_be_in_force(request.started_at, request.ended_at, slack)
+        )
     ]
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Whole fleets in the simulator: each failure of the brief under fixed seeds."""
+"""Whole simulated fleets: days with each kind of fault, under fixed seeds."""
 
 import os
 import pathlib
@@ -13,19 +13,19 @@
 import dykeswitch.simulator.scenario as scenarios
 import dykeswitch.simulator.trial as trials
 
-# What lies between proxies, endpoints and callers alone, or among the cores, shows in a small fleet.
-SMALL: typing.Final = {*faults.DATA_PATH, *control.FAULTS}
-LARGE: typing.Final = sorted(set(scenarios.FAULTS) - SMALL)
+# Faults that concern only proxies, endpoints and clients, or only the cores, show in a small fleet.
+SMALL_FLEET_FAULTS: typing.Final = {*faults.DATA_PATH, *control.FAULTS}
+LARGE_FLEET_FAULTS: typing.Final = sorted(set(scenarios.FAULTS) - SMALL_FLEET_FAULTS)
 
 
 @pytest.mark.parametrize("fault", sorted(scenarios.FAULTS))
 def test_a_day_with_one_fault_holds(fault: str) -> None:
-    # The shapes take turns, so that CI sees both within its time.
-    shape = "brook" if fault in SMALL else ("lima", "ghent")[LARGE.index(fault) % 2]
+    # The two large shapes alternate, so that CI covers both within its time limit.
+    shape = "brook" if fault in SMALL_FLEET_FAULTS else ("lima", "ghent")[LARGE_FLEET_FAULTS.index(fault) % 2]
     verdict = trials.one_day(shape, 11, (fault,), 0.1)
     assert verdict.breaches == {}
     assert verdict.figures["asked"] > 300
-    # No day passes because nothing was asked or answered.
+    # A day must not pass just because few requests were sent or answered.
     assert verdict.figures["replied"] > 0.6 * verdict.figures["asked"]
 
 
@@ -35,9 +35,9 @@
     assert verdict.breaches == {}
 
 
-# Seeds under which the days of the control plane are played besides.
+# Additional seeds for the days with faults of the control plane.
 CONTROL_SEEDS: typing.Final = (21, 22)
-# How each shape plays the day that is compared with itself: the part of its rate, and of its fleet.
+# The shapes of the day that is run twice, each with the share of its request rate and of its fleet.
 REPEATED: typing.Final = (
     ("ghent", 0.1, 1.0),
     ("lima", 0.1, 1.0),
@@ -67,19 +67,19 @@
 def test_the_same_seed_gives_the_same_day(
     shape: str, scale: float, part: float, tmp_path: pathlib.Path
 ) -> None:
-    # Processes that hash text differently: no order may hang on where a set happens to put it.
+    # The two processes hash strings differently: the iteration order of sets must not change the run.
     digests = []
     for hash_seed in ("1", "2"):
         scratch = tmp_path / hash_seed
         scratch.mkdir()
-        ran = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-c", REPEATED_DAY, shape, str(scale), str(part), str(scratch)],
             env={**os.environ, "PYTHONHASHSEED": hash_seed},
             capture_output=True,
             check=True,
             text=True,
         )
-        digests.append(ran.stdout)
+        digests.append(completed.stdout)
     assert len(digests[0].strip()) == 64
     assert digests[0] == digests[1]
 
