--- a/packages/simulator/src/dykeswitch/simulator/leaks.py
+++ b/packages/simulator/src/dykeswitch/simulator/leaks.py
@@ -19,8 +19,8 @@
     """Resources of the running programs: totals, or the most that any one program has."""
 
     tasks: int
-    table: int
-    flights: int
+    exchanges: int
+    in_flight: int
     # Connections to endpoints that are in no pool of idle ones, and the most connections between two members.
     unowned: int
     max_between_members: int
@@ -40,8 +40,8 @@
             entries[kind] = max(entries.get(kind, 0), timeline.count(kind))
     return Count(
         tasks=max((len(n.host.tasks) for n in nodes), default=0),
-        table=sum(len(n.daemon.carrier.table) for n in proxies),
-        flights=sum(sum(n.daemon.carrier.selector.flights.values()) for n in proxies),
+        exchanges=sum(len(n.daemon.carrier.table) for n in proxies),
+        in_flight=sum(sum(n.daemon.carrier.selector.flights.values()) for n in proxies),
         unowned=_count_unowned(fleet, proxies),
         max_between_members=_max_between_members(fleet),
         entries=entries,
@@ -75,8 +75,8 @@
 def grown(baseline: Count, last: Count) -> list[str]:
     """Report the resources that have not come back to their baseline."""
     found = []
-    if last.table or last.flights:
-        found.append(f"{last.table} exchanges and {last.flights} attempts are still counted")
+    if last.exchanges or last.in_flight:
+        found.append(f"{last.exchanges} exchanges and {last.in_flight} attempts are still counted")
     # Tasks for members that were added since are no leak.
     if last.tasks > baseline.tasks * last.members / baseline.members + TASKS_SLACK:
         found.append(f"a program runs {last.tasks} tasks, {baseline.tasks} before")
