--- a/packages/cli/src/dykeswitch/cli/fuzz/store.py
+++ b/packages/cli/src/dykeswitch/cli/fuzz/store.py
@@ -112,7 +112,7 @@
             _check_monotonic(before, now)
             before = now
         disk.lose_power(lambda options: 0)
-        reopened = voters.Voter(disk.wake(), ports.NoFaultPoints(), random.Random(2))
+        reopened = voters.Voter(disk.reopen(), ports.NoFaultPoints(), random.Random(2))
         await reopened.open()
         assert (reopened.disk_id, _snapshot(reopened)) == (voter.disk_id, before)
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -190,7 +190,7 @@
             for source in nodes:
                 entries = source.daemon.timeline.entries_since(0)
                 for target in nodes:
-                    if source is not target and self.world.links.both(source.name, target.name):
+                    if source is not target and self.world.links.connected(source.name, target.name):
                         target.daemon.timeline.merge(entries)
 
     def most_over(self) -> float:
@@ -280,7 +280,7 @@
     def undo() -> None:
         cluster.world.links.cuts -= {(proxy, registry), (registry, proxy)}
         for connection in list(cluster.world.links.connections):
-            connection.pump()
+            connection.flush()
 
     return undo
 
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -208,7 +208,7 @@
         def isolate() -> None:
             # Only one disk receives the accept.
             links.cut(["outside"], ["store1", "store2"])
-            bench.world.loop.call_later(2.5, links.heal, context=loops.EMPTY)
+            bench.world.loop.call_later(2.5, links.heal, context=loops.EMPTY_CONTEXT)
 
         bench.outside.fault_points.armed[proposers.POINT_BEFORE_ACCEPT] = isolate  # type: ignore[attr-defined]
         result = await first.change("k", conditional)
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -90,7 +90,7 @@
             def die() -> None:
                 failures.append(node.name)
                 node.kill()
-                fleet.world.loop.call_later(1.0, node.restart, context=loops.EMPTY)
+                fleet.world.loop.call_later(1.0, node.restart, context=loops.EMPTY_CONTEXT)
 
             node.fault_points.armed[point] = die
 
@@ -155,7 +155,7 @@
     def lose_power() -> None:
         failures.append(point)
         node.lose_power()
-        fleet.world.loop.call_later(1.0, node.restart, context=loops.EMPTY)
+        fleet.world.loop.call_later(1.0, node.restart, context=loops.EMPTY_CONTEXT)
         raise OSError("power")
 
     node.fault_points.armed[point] = lose_power
