--- a/packages/cli/src/dykeswitch/cli/main.py
+++ b/packages/cli/src/dykeswitch/cli/main.py
@@ -160,18 +160,18 @@
         if isinstance(side, str):
             sys.stderr.write(f"dykeswitch: {side}\n")
             return 2
-        pages.append(whatif.ask(shapes.SHAPES[spoken.shape], side, seeds, spoken.duration, spoken.scale))
+        pages.append(whatif.simulate(shapes.SHAPES[spoken.shape], side, seeds, spoken.duration, spoken.scale))
     first = sides[0]
     if spoken.real and isinstance(first, whatif.Variant):
         if any(event.act != "down" for event in first.events):
             sys.stderr.write("dykeswitch: --real plays 'down' events only\n")
             return 2
         shape = shapes.SHAPES[spoken.shape]
-        found = asyncio.run(whatreal.ask(shape, first, 1, spoken.duration, spoken.scale))
+        found = asyncio.run(whatreal.run(shape, first, 1, spoken.duration, spoken.scale))
         print(json.dumps([pages[0], found, whatreal.compare(pages[0], found)], indent=2))
         return 0
     if len(pages) == 2:
-        pages.append({"second less first": whatif.differ(pages[0], pages[1])})
+        pages.append({"second less first": whatif.difference(pages[0], pages[1])})
     print(json.dumps(pages, indent=2))
     return 0
 
--- a/packages/cli/src/dykeswitch/cli/soak.py
+++ b/packages/cli/src/dykeswitch/cli/soak.py
@@ -41,14 +41,14 @@
 def run(spoken: argparse.Namespace) -> int:
     """Soak, or replay; the exit code."""
     root = spoken.folder or pathlib.Path(tempfile.mkdtemp(prefix="dykeswitch-soak-"))
-    most = sizes.processes_most(sizes.memory())
+    most = sizes.max_processes(sizes.memory())
     try:
         given = [plans.read(spoken.replay)] if spoken.replay is not None else _drawn(spoken, most)
     except plans.PlanError as flaw:
         sys.stderr.write(f"dykeswitch: {flaw}\n")
         return EXIT_USAGE
     for plan in given:
-        needed = sizes.processes(sizes.sized(sizes.SHAPES[plan.shape], plan.nodes))
+        needed = sizes.processes(sizes.scaled_to(sizes.SHAPES[plan.shape], plan.nodes))
         if needed > most:
             sys.stderr.write(f"dykeswitch: {needed} processes are needed, this machine bears {most} now\n")
             return EXIT_USAGE
@@ -61,7 +61,7 @@
     nodes = most if spoken.nodes < 0 else min(spoken.nodes, most)
     seconds = spoken.minutes * MINUTE_S
     return [
-        plans.draw(spoken.shape, seed, seconds, spoken.scale, nodes)
+        plans.generate(spoken.shape, seed, seconds, spoken.scale, nodes)
         for seed in range(spoken.seed, spoken.seed + spoken.seeds)
     ]
 
@@ -73,7 +73,7 @@
     if sys.stderr.isatty():
         sys.stderr.write(f"seed {plan.seed}: {plan.seconds:.0f} s of acts, then calm; {folder}\n")
     day = asyncio.run(engine.play(plan, folder))
-    report = reports.of(plan, day, folder)
+    report = reports.create(plan, day, folder)
     reports.write(report, day, folder)
     print(report.text(), flush=True)
-    return report.held
+    return report.passed
--- a/packages/simulator/src/dykeswitch/simulator/faults/__init__.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/__init__.py
@@ -1,4 +1,4 @@
-"""The failures of the brief, each as something done to a running fleet."""
+"""The failures named in the requirements, each as a function that applies it to a running fleet."""
 
 import typing
 
@@ -19,7 +19,7 @@
 import dykeswitch.simulator.faults.wires as wires
 import dykeswitch.simulator.stage as stages
 
-# What lies between proxies, endpoints and callers alone: a small fleet shows it as well.
+# Failures that involve only proxies, endpoints and clients; a small fleet is enough to show them.
 DATA_PATH: typing.Final[dict[str, stages.Fault]] = {
     **garbage.FAULTS,
     **full.FAULTS,
@@ -40,8 +40,9 @@
     **control.FAULTS,
     **wires.FAULTS,
 }
-# Such as the gateway does not hold yet: neither CI nor mixed days play them, and whoever mends
-# one moves it into its module's other table.
+# Failures that the gateway does not withstand yet. Neither CI nor mixed days include them; once
+# fixed, an entry moves to the FAULTS table of its module.
 KNOWN_FAILING: typing.Final[dict[str, stages.Fault]] = {}
-# Days on which endpoints seal their replies, so that what bears no seal is known to be nobody's.
+# Faults that are run with endpoints that seal their responses, so that an unsealed response is
+# recognised as not being theirs.
 SEALED: typing.Final = garbage.SEALED
--- a/packages/simulator/src/dykeswitch/simulator/faults/beats.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/beats.py
@@ -1,4 +1,4 @@
-"""Beats that come late, out of order, after their endpoint left, or tell more than before."""
+"""Heartbeats that arrive late, out of order or after their endpoint left, or that have optional fields."""
 
 import asyncio
 import json
@@ -6,65 +6,65 @@
 
 import dykeswitch.simulator.stage as stages
 
-Page = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
-# How many requests come within how many seconds to show that fresh endpoints are sent to.
-PRESS: typing.Final = 60
-PRESS_S: typing.Final = 0.1
+# Size and duration of the burst of requests which shows that new endpoints receive traffic.
+BURST_REQUESTS: typing.Final = 60
+BURST_DURATION_S: typing.Final = 0.1
 
 
-async def _post(stage: stages.Stage, page: Page) -> int:
-    """Bring a beat that was under way for long to some registry; the status of its answer."""
+async def _post_heartbeat(stage: stages.Stage, body: JsonObject) -> int:
+    """Deliver a delayed heartbeat to a registry; returns the HTTP status, or 0 without a response."""
     try:
-        reply = await stage.fleet.outside.web.request(
-            "POST", stage.core().web, "/v1/beat", [], _packed(page), 1.0
+        response = await stage.fleet.outside.web.request(
+            "POST", stage.core().web, "/v1/beat", [], _encode(body), 1.0
         )
     except (OSError, TimeoutError):
         return 0
-    return reply.status
+    return response.status
 
 
-def _packed(page: Page) -> bytes:
-    return json.dumps(page).encode()
+def _encode(body: JsonObject) -> bytes:
+    return json.dumps(body).encode()
 
 
 async def late_beats(stage: stages.Stage) -> None:
-    """Two beats of five come up to two seconds late, in any order."""
+    """Two of five heartbeats arrive up to two seconds late, in any order."""
     with stage.with_profile(stage.live_endpoints(), late_share=0.4, late_s=2.0):
         await asyncio.sleep(8.0)
 
 
 async def beat_after_leaving(stage: stages.Stage) -> None:
-    """An endpoint's last beats come after the one by which it left."""
+    """An endpoint's last heartbeats arrive after the one that announced its departure."""
     service = stage.any_service()
     name = stage.rng.choice(stage.live_endpoints(service.name))
-    pages = [stage.fleet.endpoints[name].page() for _ in range(4)]
+    bodies = [stage.fleet.endpoints[name].page() for _ in range(4)]
     stage.new_endpoint(service, stage.fleet.world.address())
     leaving = asyncio.create_task(stage.fleet.drain_endpoint(name, 5.0))
-    for page in stage.rng.sample(pages, len(pages)):
+    for body in stage.rng.sample(bodies, len(bodies)):
         await asyncio.sleep(0.8)
-        await _post(stage, page)
+        await _post_heartbeat(stage, body)
     await leaving
     await asyncio.sleep(1.0)
 
 
 async def beat_of_the_dead(stage: stages.Stage) -> None:
-    """An endpoint ends, another service has its address, and then its last beats come."""
-    one, two = stage.rng.sample(stage.fleet.shape.services, 2)
-    name = stage.rng.choice(stage.live_endpoints(one.name))
+    """An endpoint's last heartbeats arrive after it ended and another service took over its address."""
+    first, second = stage.rng.sample(stage.fleet.shape.services, 2)
+    name = stage.rng.choice(stage.live_endpoints(first.name))
     endpoint = stage.fleet.endpoints[name]
-    pages = [endpoint.page() for _ in range(4)]
+    bodies = [endpoint.page() for _ in range(4)]
     stage.fleet.kill_endpoint(name)
-    stage.new_endpoint(two, endpoint.address, 0.2)
-    stage.new_endpoint(one, stage.fleet.world.address())
-    for page in pages:
+    stage.new_endpoint(second, endpoint.address, 0.2)
+    stage.new_endpoint(first, stage.fleet.world.address())
+    for body in bodies:
         await asyncio.sleep(1.2)
-        await _post(stage, page)
+        await _post_heartbeat(stage, body)
     await asyncio.sleep(2.0)
 
 
 async def tell_more(stage: stages.Stage) -> None:
-    """Endpoints whose beats tell slots, count, warming up and draining are known and sent to."""
+    """Endpoints whose heartbeats report slots, count, warm-up and draining are known and receive traffic."""
     service = stage.any_service()
     names = [
         stage.new_endpoint(
@@ -73,30 +73,30 @@
         for _ in range(3)
     ]
     await asyncio.sleep(4.0)
-    # At a light load the endpoints whose pace is known finish first, and rightly get it all:
-    # only a press shows whether the fresh ones are known.
-    await stage.fleet.clients.send_burst(service, PRESS, PRESS_S)
+    # Under a light load, endpoints whose speed is known are expected to finish first and rightly get
+    # all requests. Only a burst shows whether the new endpoints are known.
+    await stage.fleet.clients.send_burst(service, BURST_REQUESTS, BURST_DURATION_S)
     for name in names:
         if not stage.fleet.endpoints[name].arrival_count:
-            stage.report_failure(f"{name}, whose beats tell more, was sent nothing")
+            stage.report_failure(f"{name}, whose heartbeats have optional fields, received no request")
 
 
 async def beat_overtaken(stage: stages.Stage) -> None:
-    """An older beat, which says nothing of draining, comes after the one that does."""
+    """Older heartbeats without the draining flag arrive after the one that has it."""
     service = stage.any_service()
     name = stage.new_endpoint(service, stage.fleet.world.address(), tells_more=True)
     await asyncio.sleep(2.5)
     endpoint = stage.fleet.endpoints[name]
-    pages = [endpoint.page() for _ in range(3)]
+    bodies = [endpoint.page() for _ in range(3)]
     if await endpoint.drain():
         stage.fleet.left[name] = stage.now
     else:
-        stage.report_failure(f"no registry took up that {name} drains")
-    # It beats no more by itself: only older words come.
+        stage.report_failure(f"no registry accepted that {name} is draining")
+    # It sends no further heartbeats of its own, so only the older ones arrive.
     endpoint.beating = False
-    for page in pages:
+    for body in bodies:
         await asyncio.sleep(0.7)
-        await _post(stage, page)
+        await _post_heartbeat(stage, body)
     await asyncio.sleep(2.0)
     await stage.fleet.drain_endpoint(name, 0.5)
 
--- a/packages/simulator/src/dykeswitch/simulator/faults/callers.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/callers.py
@@ -1,4 +1,4 @@
-"""Callers that try again, that do not wait, that come in bursts or over fresh pipes."""
+"""Clients that retry, ignore the retry delay, send bursts, use new connections or leave early."""
 
 import asyncio
 import typing
@@ -8,7 +8,7 @@
 
 
 async def try_again(stage: stages.Stage) -> None:
-    """Callers try once more by another proxy, after the time they are told, while some refuse."""
+    """While some endpoints refuse, clients retry once through another proxy, after the given delay."""
     service = stage.any_service()
     with (
         stage.with_behavior(tries=1),
@@ -18,7 +18,7 @@
 
 
 async def try_again_all_refuse(stage: stages.Stage) -> None:
-    """The same while every endpoint of a service refuses: each write may run once, or not at all."""
+    """Clients retry while every endpoint of a service refuses: each write may run once or not at all."""
     service = stage.any_service()
     names = stage.live_endpoints(service.name)
     with stage.with_behavior(tries=2), stage.failing(service.name):
@@ -28,7 +28,7 @@
 
 
 async def do_not_wait(stage: stages.Stage) -> None:
-    """Callers ask again at once, whatever they are told, while a service refuses nearly all."""
+    """Clients retry at once, whatever delay they are given, while a service refuses nearly all requests."""
     service = stage.any_service()
     names = stage.live_endpoints(service.name)
     with stage.with_behavior(tries=3, waits=False), stage.failing(service.name):
@@ -38,7 +38,7 @@
 
 
 async def lose_and_try_again(stage: stages.Stage) -> None:
-    """Replies are lost after the work: callers of reads ask again, those of writes must not need to."""
+    """Responses are lost after the work is done: clients retry reads, and writes must not need a retry."""
     service = stage.any_service()
     with (
         stage.with_behavior(tries=2),
@@ -50,7 +50,7 @@
 
 
 async def burst_of_callers(stage: stages.Stage) -> None:
-    """Many requests of every service within a moment, three times."""
+    """A burst of requests to every service, three times."""
     for _ in range(3):
         bursts = [stage.fleet.clients.send_burst(s, 50, 0.1) for s in stage.fleet.shape.services]
         await asyncio.gather(*bursts)
@@ -58,26 +58,26 @@
 
 
 async def fresh_callers(stage: stages.Stage) -> None:
-    """Every request over a pipe of its own, and unevenly over the proxies."""
+    """Every request uses a connection of its own; the proxies get uneven shares."""
     with stage.with_behavior(kept_share=0.0, uneven=0.8):
         await asyncio.sleep(5.0)
 
 
 async def kept_callers(stage: stages.Stage) -> None:
-    """Every request over a kept pipe, while a proxy goes."""
+    """Every request uses a kept connection while a proxy is killed and restarted."""
     with stage.with_behavior(kept_share=1.0):
         edge = stage.edge()
-        begun = stage.now
+        started_at = stage.now
         await asyncio.sleep(1.0)
         edge.node.kill()
         await asyncio.sleep(1.0)
         edge.node.restart()
-        stage.mark_gone([edge], begun)
+        stage.mark_gone([edge], started_at)
         await asyncio.sleep(3.0)
 
 
 async def believe_bare_503(stage: stages.Stage) -> None:
-    """Endpoints do the work and answer 503 without a promise; callers take 503 for one."""
+    """Endpoints do the work and respond 503 without a promise; clients take a 503 for a promise."""
     service = next(s for s in stage.fleet.shape.services if s.writing)
     with (
         stage.with_behavior(tries=1),
@@ -87,7 +87,7 @@
 
 
 async def every_run_fails(stage: stages.Stage) -> None:
-    """Every endpoint of a reading service does the work and says that it failed."""
+    """Every endpoint of a read service does the work and reports a failure."""
     service = next(s for s in stage.fleet.shape.services if not s.writing)
     with stage.failing(service.name):
         with stage.with_fault_plan(stage.live_endpoints(service.name), "run_then_500", 1.0):
@@ -95,20 +95,20 @@
         await asyncio.sleep(0.5)
 
 
-# Work that outlasts its caller's patience by far, how soon those who leave are gone, and how often
-# one comes with such work, in seconds.
+# Duration of work that its client does not wait for, the time within which a leaving client is gone,
+# and the interval between requests with such work.
 LONG_WORK_S: typing.Final = 2.5
 LEAVE_WITHIN_S: typing.Final = 0.4
-LONG_WORK_EACH_S: typing.Final = 0.05
+LONG_WORK_INTERVAL_S: typing.Final = 0.05
 
 
-async def _come_and_leave(stage: stages.Stage, span: float) -> None:
-    """Callers with long work, of every service, most of whom leave amid it."""
-    end = stage.now + span
+async def _send_long_work(stage: stages.Stage, duration_s: float) -> None:
+    """Send requests with long work to every service; most clients leave before it is done."""
+    end = stage.now + duration_s
     requests = []
     services = stage.fleet.shape.services
     while stage.now < end:
-        await asyncio.sleep(LONG_WORK_EACH_S)
+        await asyncio.sleep(LONG_WORK_INTERVAL_S)
         service = stage.rng.choice(services)
         requests.append(
             stage.fleet.spawn(stage.fleet.clients.send_request(service, more=f"&work={LONG_WORK_S}"))
@@ -117,16 +117,16 @@
 
 
 async def callers_leave(stage: stages.Stage) -> None:
-    """Callers leave at any moment before they are answered, and endpoints drop work that is broken off."""
+    """Clients leave at any time before the response; endpoints cancel work whose request was aborted."""
     with (
         stage.with_profile(stage.live_endpoints(), drops=True),
         stage.with_behavior(leave_share=0.7, leave_within_s=LEAVE_WITHIN_S),
     ):
-        await _come_and_leave(stage, 4.0)
+        await _send_long_work(stage, 4.0)
 
 
 async def callers_leave_between_tries(stage: stages.Stage) -> None:
-    """Callers leave while some endpoints refuse, hang or fail, so that requests are tried again."""
+    """Clients leave while some endpoints refuse, hang or are slow, so that requests are retried."""
     service = next(s for s in stage.fleet.shape.services if not s.writing)
     names = stage.some_of(service.name, 0.5)
     with (
@@ -134,42 +134,42 @@
         stage.with_behavior(leave_share=0.7, leave_within_s=LEAVE_WITHIN_S),
         stage.with_fault_plan(names, stage.rng.choice(("hang", "slow", "promise")), 0.8),
     ):
-        await _come_and_leave(stage, 4.0)
-        # Those that hang hold a request for a third of its time before another attempt is made.
+        await _send_long_work(stage, 4.0)
+        # A hanging endpoint occupies a request for a third of its time before another attempt is made.
         await asyncio.sleep(4.0)
 
 
 async def callers_leave_while_proxies_stop(stage: stages.Stage) -> None:
-    """Callers leave proxies that are told to stop, one after another, while their requests are at work."""
+    """Clients leave while their requests are in progress and their proxies are stopped one after another."""
     with (
         stage.with_profile(stage.live_endpoints(), drops=True),
         stage.with_behavior(leave_share=0.7, leave_within_s=LEAVE_WITHIN_S),
     ):
-        coming = stage.fleet.spawn(_come_and_leave(stage, 4.0))
+        sending = stage.fleet.spawn(_send_long_work(stage, 4.0))
         for edge in stage.up_edges()[:3]:
-            begun = stage.now
+            started_at = stage.now
             await stage.stop(edge.node)
-            stage.story.stops.append(histories.Span(edge.web, begun, stage.now))
+            stage.story.stops.append(histories.Span(edge.web, started_at, stage.now))
             edge.node.restart()
             await asyncio.sleep(0.5)
-        await coming
+        await sending
 
 
 async def callers_leave_a_frozen_proxy(stage: stages.Stage) -> None:
-    """Callers leave a proxy that stands still, which hears of it when it wakes."""
+    """Clients leave a frozen proxy, which notices it only when it resumes."""
     edge = stage.edge()
     with (
         stage.with_profile(stage.live_endpoints(), drops=True),
         stage.with_behavior(leave_share=0.7, leave_within_s=LEAVE_WITHIN_S),
     ):
-        coming = stage.fleet.spawn(_come_and_leave(stage, 4.0))
+        sending = stage.fleet.spawn(_send_long_work(stage, 4.0))
         await asyncio.sleep(1.0)
-        begun = stage.now
+        started_at = stage.now
         edge.node.freeze()
         await asyncio.sleep(1.5)
         edge.node.thaw()
-        stage.mark_gone([edge], begun)
-        await coming
+        stage.mark_gone([edge], started_at)
+        await sending
 
 
 FAULTS: typing.Final[dict[str, stages.Fault]] = {
--- a/packages/simulator/src/dykeswitch/simulator/faults/cores.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/cores.py
@@ -1,4 +1,4 @@
-"""Failures of the cores: power, swaps, clocks, freezes, splits."""
+"""Failures of the cores: power loss, replacement, clock jumps, freezes, network splits."""
 
 import asyncio
 import typing
@@ -8,7 +8,7 @@
 
 
 async def lose_store_power(stage: stages.Stage) -> None:
-    """Power goes right after a change was confirmed."""
+    """A core loses power right after a change was confirmed."""
     core = stage.core()
     await stage.change(core)
     core.store.lose_power()
@@ -22,7 +22,7 @@
 
 
 async def swap_core(stage: stages.Stage) -> None:
-    """A core goes for good; an empty one comes at a new address, with old seeds."""
+    """A core is lost for good and replaced by an empty one at a new address, with the old seeds."""
     fleet = stage.fleet
     old = stage.core()
     await stage.change(old)
@@ -55,7 +55,7 @@
 
 
 async def jump_clock(stage: stages.Stage) -> None:
-    """One registry's clock jumps, and an order comes to it."""
+    """One registry's clock jumps, and it receives an order."""
     core = stage.core()
     core.registry.clock.jump += stage.rng.choice([-86400.0, -3.0, 3.0, 86400.0])
     await asyncio.sleep(1.0)
@@ -64,25 +64,25 @@
 
 
 async def cut_one_core(stage: stages.Stage) -> None:
-    """One core is apart from all but one proxy, which restarts and reaches it alone."""
+    """One core is cut off from all but one proxy, which restarts and reaches only this core."""
     core = stage.core()
     others = [c for c in stage.fleet.cores if c is not core]
     names = [n for c in others for n in c.names()]
     edge = stage.rng.choice(stage.up_edges())
     rest = [e.node.name for e in stage.fleet.edges if e is not edge]
     stage.links.cut(core.names(), names + rest, both=stage.rng.random() < 0.7)
-    # Nobody carries news of the change to the core that is apart.
-    begun = stage.now
+    # The proxy is down meanwhile, so that it does not gossip the change to the core that is cut off.
+    started_at = stage.now
     edge.node.kill()
     await asyncio.sleep(0.5)
-    one, two = await asyncio.gather(
+    first, second = await asyncio.gather(
         stage.fleet.put(stage.layout(), core, wait=4.0), stage.fleet.put(stage.layout(), others[0])
     )
-    stage.note(f"cut core said {one.status}, others said {two.status}")
+    stage.note(f"the cut-off core responded {first.status}, the others {second.status}")
     # A proxy that restarts now may reach only the core that lags.
     stage.links.cut([edge.node.name], names + stage.edge_names())
     edge.node.restart()
-    stage.mark_gone([edge], begun)
+    stage.mark_gone([edge], started_at)
     await asyncio.sleep(3.0)
     await stage.fleet.get(core, wait=3.0)
     stage.links.heal()
@@ -93,10 +93,10 @@
 async def split_all_cores(stage: stages.Stage) -> None:
     """No core reaches another for a while."""
     names = [c.names() for c in stage.fleet.cores]
-    for one in names:
-        for two in names:
-            if one is not two:
-                stage.links.cut(one, two)
+    for first in names:
+        for second in names:
+            if first is not second:
+                stage.links.cut(first, second)
     await asyncio.sleep(0.5)
     await stage.fleet.put(stage.layout(), stage.core(), wait=3.0)
     await asyncio.sleep(3.0)
@@ -106,7 +106,7 @@
 
 
 async def freeze_registry(stage: stages.Stage) -> None:
-    """The prober's owner freezes with results in hand, and wakes after the handover."""
+    """A registry freezes with probe results pending and resumes after its probes were handed over."""
     core = stage.core()
     core.registry.freeze()
     await asyncio.sleep(6.0)
@@ -115,7 +115,7 @@
 
 
 async def freeze_store(stage: stages.Stage) -> None:
-    """A store stands still while a change is made."""
+    """A store is frozen while a change is made."""
     core = stage.core()
     core.store.freeze()
     await stage.change()
@@ -125,46 +125,48 @@
 
 
 async def swap_while_split(stage: stages.Stage) -> None:
-    """Members change while cores are split."""
+    """A core is replaced while the cores are split."""
     fleet = stage.fleet
     old = stage.core()
     old.store.lose_power()
     old.registry.lose_power()
     core = stage.new_core(old)
     await asyncio.sleep(stage.rng.uniform(2.5, 5.0))
-    one = stage.rng.choice([c for c in fleet.cores if c is not core])
-    stage.links.cut(one.names(), [n for c in fleet.cores if c is not one for n in c.names()])
+    isolated = stage.rng.choice([c for c in fleet.cores if c is not core])
+    stage.links.cut(isolated.names(), [n for c in fleet.cores if c is not isolated for n in c.names()])
     await asyncio.sleep(stage.rng.uniform(0.2, 3.0))
     await fleet.put(stage.layout(), core, wait=3.0)
     stage.links.heal()
     await stage.wait_until_all_vote()
-    await fleet.get(one)
+    await fleet.get(isolated)
 
 
 async def swap_every_core(stage: stages.Stage) -> None:
-    """All seeds are replaced in time; then machines that know only the old ones start anew."""
+    """All cores are replaced one by one; then proxies that have only the old seeds restart."""
     for core in list(stage.fleet.cores):
         core.store.lose_power()
         core.registry.lose_power()
         await asyncio.sleep(1.0)
-        # While one seed of old is left it is enough; the last to come is told who is there.
-        left = [c for c in stage.fleet.cores if c is not core and not c.registry.name.startswith("core-new")]
-        stage.new_core(core, () if left else tuple(c.member for c in stage.fleet.cores))
+        # One remaining old seed is enough; only the last new core is given the current members as seeds.
+        old_seeds = [
+            c for c in stage.fleet.cores if c is not core and not c.registry.name.startswith("core-new")
+        ]
+        stage.new_core(core, () if old_seeds else tuple(c.member for c in stage.fleet.cores))
         await stage.wait_until_all_vote()
-    herd = stage.rng.sample(stage.up_edges(), 3)
-    begun = stage.now
-    for edge in herd:
+    group = stage.rng.sample(stage.up_edges(), 3)
+    started_at = stage.now
+    for edge in group:
         edge.node.kill()
-    # Long enough to be forgotten by every view.
+    # Long enough for every member view to forget them.
     await asyncio.sleep(15.0)
-    for edge in herd:
+    for edge in group:
         edge.node.restart()
-    stage.mark_gone(herd, begun)
+    stage.mark_gone(group, started_at)
     try:
-        took = await stage.fleet.until(lambda: all(_ready(e) for e in herd), 15, "ready with old seeds")
-        stage.note(f"proxies with only old seeds ready after {took:.2f} s")
+        took = await stage.fleet.until(lambda: all(_ready(e) for e in group), 15, "ready with old seeds")
+        stage.note(f"proxies that had only old seeds were ready after {took:.2f} s")
     except TimeoutError:
-        stage.report_failure("a proxy whose seeds are all gone was not ready again within 15 s")
+        stage.report_failure("a proxy whose seeds are all gone was not ready within 15 s of its restart")
 
 
 def _ready(edge: typing.Any) -> bool:
@@ -195,7 +197,7 @@
 
 
 async def stop_cores_in_turn(stage: stages.Stage) -> None:
-    """Orderly stops of every registry and store, one after another, layouts coming meanwhile."""
+    """Graceful stops of every registry and store, one after another, during layout changes."""
     for core in list(stage.fleet.cores):
         for node in (core.registry, core.store):
             changes = asyncio.create_task(stage.change())
@@ -207,7 +209,7 @@
 
 
 async def jump_all_clocks(stage: stages.Stage) -> None:
-    """Clocks of every kind of machine jump, a little and by years, both ways."""
+    """Clocks of every kind of machine jump by seconds and by years, in both directions."""
     nodes = [stage.core().registry, stage.core().store, *(e.node for e in stage.up_edges()[:3])]
     for jump in (-0.7, 2.5, -3.0e8, 3.0e8):
         for node in nodes:
@@ -220,79 +222,79 @@
 
 
 async def hand_over_duty(stage: stages.Stage) -> None:
-    """The prober's owner freezes right with a result in hand, until others have its duty."""
+    """A registry freezes with a probe result pending, until other registries own its assigned slots."""
     core = stage.core()
     node = core.registry
-    held = {n for n, (o, _) in node.daemon.duties.owners().items() if o.startswith(f"{core.registry.name}/")}
-    sick = stage.rng.choice(stage.live_endpoints())
-    plan = stage.fleet.endpoints[sick].plan
+    owned = {n for n, (o, _) in node.daemon.duties.owners().items() if o.startswith(f"{core.registry.name}/")}
+    failing = stage.rng.choice(stage.live_endpoints())
+    plan = stage.fleet.endpoints[failing].plan
     plan.fault, plan.probe_too = "status_502", True
     node.fault_points.armed[21] = node.freeze
-    await stage.fleet.until(lambda: bool(node.host.frozen), 10, "a result in hand")
+    await stage.fleet.until(lambda: bool(node.host.frozen), 10, "a pending probe result")
     plan.fault, plan.probe_too = "none", False
     others = [c.registry for c in stage.fleet.cores if c is not core]
 
     def moved() -> bool:
         owners = others[0].daemon.duties.owners()
-        return all(not owners[n][0].startswith(f"{node.name}/") for n in held if n in owners)
+        return all(not owners[n][0].startswith(f"{node.name}/") for n in owned if n in owners)
 
     try:
-        await stage.fleet.until(moved, 12, "the duty handed over")
+        await stage.fleet.until(moved, 12, "the probe slots handed over")
     except TimeoutError:
-        stage.report_failure("a frozen registry's probe duty was not taken over")
+        stage.report_failure("a frozen registry's probe slots were not taken over")
     await asyncio.sleep(1.0)
     node.thaw()
-    # The result it held is of an age ago: nobody may believe it.
+    # The pending result is stale by now: no proxy may accept it.
     await asyncio.sleep(0.5)
-    wrong = [
+    accepting = [
         e.node.name
         for e in stage.up_edges()
-        if (mark := e.node.daemon.marks.mark_of(sick)) is not None and mark.fields["by"] == node.name
+        if (mark := e.node.daemon.marks.mark_of(failing)) is not None and mark.fields["by"] == node.name
     ]
-    if wrong:
-        stage.report_failure(f"{wrong} believe a result that lay in a frozen registry's hand")
+    if accepting:
+        stage.report_failure(f"{accepting} accepted a stale probe result of a registry that had been frozen")
     await asyncio.sleep(2.0)
 
 
 async def lose_lenders(stage: stages.Stage) -> None:
-    """A service fails all the while, and who lends extra go's is killed, frozen, cut off; borrowers too."""
+    """While a service fails, registries that lend retry tokens and proxies are killed, frozen and cut off."""
     fleet = stage.fleet
-    # The busiest, but of no more than half the requests: most of the day would else be excused.
+    # The busiest service with at most half of all requests; otherwise most of the day would be excused.
     service = max((s for s in fleet.shape.services if s.rate * 2 <= fleet.shape.rate), key=lambda s: s.rate)
-    begun = stage.now
+    started_at = stage.now
     names = stage.live_endpoints(service.name)
     for name in names:
         plan = fleet.endpoints[name].plan
         plan.fault, plan.share = "promise", 1.0
     await asyncio.sleep(4.0)
-    # Everyone who lent is gone for a second, and half of those who had something.
+    # All lenders and half of the borrowers are down for a second.
     for core in fleet.cores:
         core.registry.kill()
-    herd = stage.rng.sample(stage.up_edges(), len(stage.up_edges()) // 2)
-    for edge in herd:
+    group = stage.rng.sample(stage.up_edges(), len(stage.up_edges()) // 2)
+    for edge in group:
         edge.node.kill()
     await asyncio.sleep(1.0)
-    for node in [c.registry for c in fleet.cores] + [e.node for e in herd]:
+    for node in [c.registry for c in fleet.cores] + [e.node for e in group]:
         node.restart()
-    stage.mark_gone(herd, begun + 4.0)
+    stage.mark_gone(group, started_at + 4.0)
     await asyncio.sleep(10.0)
-    # One lender is frozen until others have its part, and wakes with its book.
+    # One lender is frozen until others have taken over its part, and resumes with its old ledger.
     frozen = stage.core().registry
     frozen.freeze()
     await asyncio.sleep(6.0)
     frozen.thaw()
-    # One has no majority, and borrowers that reach it alone.
+    # One lender has no majority, and some borrowers reach only this one.
     core = stage.core()
     others = [n for c in fleet.cores if c is not core for n in c.names()]
-    near = [e.node.name for e in stage.up_edges()[:3]]
+    borrowers = [e.node.name for e in stage.up_edges()[:3]]
     stage.links.cut(core.names(), others)
-    stage.links.cut(near, others)
+    stage.links.cut(borrowers, others)
     await asyncio.sleep(6.0)
     stage.links.heal()
     await asyncio.sleep(2.0)
     for name in names:
         fleet.endpoints[name].plan.fault = "none"
-    stage.story.failing.append(histories.Span(service.name, begun, stage.now))
+    stage.story.failing.append(histories.Span(service.name, started_at, stage.now))
 
 
 FAULTS: typing.Final[dict[str, stages.Fault]] = {
--- a/packages/simulator/src/dykeswitch/simulator/faults/disks.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/disks.py
@@ -1,16 +1,15 @@
-"""Failures of the stores' disks: lost, full, stalled, damaged, and such that refuse a step of a write."""
+"""Failures of the stores' disks: lost, full, stalled, damaged, or failing at one step of a write."""
 
 import asyncio
 import typing
 
 import dykeswitch.simulator.stage as stages
 
-# How long a disk that stalls answers nothing.
 STALL_S: typing.Final = 3.0
 
 
 async def lose_store_disk(stage: stages.Stage) -> None:
-    """The disk goes right after a change was confirmed; an empty one comes."""
+    """A store's disk is lost right after a change was confirmed and replaced by an empty one."""
     core = stage.core()
     await stage.change(core)
     core.store.lose_power()
@@ -22,30 +21,30 @@
 
 
 async def fill_disk(stage: stages.Stage) -> None:
-    """A disk is full: its store votes no more and says so; it does again once there is room."""
-    await _spoil_disk(stage, "sync_file", "no space left on device")
+    """A disk is full: its store stops voting and reports it, and votes again once there is space."""
+    await _break_disk(stage, "sync_file", "no space left on device")
 
 
 async def fail_sync(stage: stages.Stage) -> None:
-    """A disk refuses to sync a folder: what it wrote may or may not last."""
-    await _spoil_disk(stage, "sync_folder", "input/output error")
+    """A disk fails to sync a folder: what was written may or may not be durable."""
+    await _break_disk(stage, "sync_folder", "input/output error")
 
 
 async def fail_rename(stage: stages.Stage) -> None:
-    """A disk refuses the last step of a write."""
-    await _spoil_disk(stage, "rename", "input/output error")
+    """A disk fails at the rename, the last step of a write."""
+    await _break_disk(stage, "rename", "input/output error")
 
 
-async def _spoil_disk(stage: stages.Stage, step: str, why: str) -> None:
+async def _break_disk(stage: stages.Stage, step: str, failure: str) -> None:
     core = stage.core()
     disk = core.store.disk
     assert disk is not None
-    disk.spoilt[step] = why
+    disk.spoilt[step] = failure
     for _ in range(3):
         await stage.change()
     await stage.fleet.get(stage.core())
-    if core.store.daemon.voter.disk_fault != why:
-        stage.report_failure(f"a store on a disk that said '{why}' goes on voting")
+    if core.store.daemon.voter.disk_fault != failure:
+        stage.report_failure(f"a store went on voting after its disk failed with '{failure}'")
     await asyncio.sleep(1.0)
     core.store.kill()
     disk.spoilt.clear()
@@ -56,25 +55,25 @@
 
 
 async def stall_disk(stage: stages.Stage) -> None:
-    """A disk answers nothing for a while: changes and reads go on, and its store votes again after."""
+    """A disk stalls for a while: changes and reads go on, and its store votes again afterwards."""
     core = stage.core()
     disk = core.store.disk
     assert disk is not None
     disk.stall(after=stage.rng.random() < 0.5)
-    begun = stage.fleet.clock.now()
+    started_at = stage.fleet.clock.now()
     for _ in range(3):
         await stage.change()
     await stage.fleet.get(core)
-    await asyncio.sleep(max(0.0, begun + STALL_S - stage.fleet.clock.now()))
+    await asyncio.sleep(max(0.0, started_at + STALL_S - stage.fleet.clock.now()))
     disk.flow()
     await stage.change(core)
     if core.store.daemon.voter.disk_fault:
-        stage.report_failure("a store whose disk goes on does not vote")
+        stage.report_failure("a store did not vote although its disk works again")
     await stage.fleet.get(core)
 
 
 async def damage_disk(stage: stages.Stage) -> None:
-    """A file is found damaged at start: the store refuses, until its disk is emptied."""
+    """A file is found damaged at start: the store refuses to start until its disk is emptied."""
     core = stage.core()
     await stage.change(core)
     core.store.lose_power()
@@ -87,8 +86,8 @@
     core.store.restart()
     await asyncio.sleep(1.0)
     if "StorageDamageError" not in core.store.crash:
-        stage.report_failure("a store took up a damaged file")
-    # That it ended by itself is what was asked for here.
+        stage.report_failure("a store accepted a damaged file")
+    # The crash is expected here.
     core.store.crash = ""
     await stage.change()
     core.store.wipe()
--- a/packages/simulator/src/dykeswitch/simulator/faults/endpoints.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/endpoints.py
@@ -1,4 +1,4 @@
-"""Failures of endpoints: replaced, killed, handed over, misbehaving."""
+"""Failures of endpoints: replaced, killed, address handed over, misbehaving."""
 
 import asyncio
 import typing
@@ -8,7 +8,7 @@
 
 
 async def roll_endpoints(stage: stages.Stage) -> None:
-    """A release: new ones come, old ones leave, one by one."""
+    """A rolling release: new endpoints start and old ones leave, one by one."""
     service = stage.rng.choice(stage.fleet.shape.services)
     for name in stage.live_endpoints(service.name)[:3]:
         stage.new_endpoint(service, stage.fleet.world.address())
@@ -17,6 +17,7 @@
 
 
 async def kill_endpoint(stage: stages.Stage) -> None:
+    """An endpoint is killed and replaced two seconds later."""
     name = stage.rng.choice(stage.live_endpoints())
     old = stage.fleet.endpoints[name]
     stage.fleet.kill_endpoint(name)
@@ -26,22 +27,24 @@
 
 
 async def hand_over_address(stage: stages.Stage) -> None:
-    """An endpoint ends and its address goes to another service, pipes still open."""
+    """An endpoint ends and its address goes to another service while connections to it are still open."""
     name = stage.rng.choice(stage.live_endpoints())
     old = stage.fleet.endpoints[name]
     other = stage.rng.choice([s for s in stage.fleet.shape.services if s.name != old.service])
     stage.fleet.kill_endpoint(name)
-    # It listens well before it first says who it is.
+    # It may listen well before its first heartbeat says which endpoint it is.
     stage.new_endpoint(other, old.address, stage.rng.uniform(0.0, 2.0))
     await asyncio.sleep(0.5)
     stage.new_endpoint(stage.shape_of(old.service), stage.fleet.world.address())
     await asyncio.sleep(4.0)
 
 
-def misbehave(fault: str, many: int = 1, probe_too: bool = False, share: float = 0.7) -> stages.Fault:
+def misbehave(fault: str, count: int = 1, probe_too: bool = False, share: float = 0.7) -> stages.Fault:
+    """Make `count` endpoints of a service fail in one way for some seconds."""
+
     async def act(stage: stages.Stage) -> None:
         service = stage.rng.choice(stage.fleet.shape.services)
-        names = stage.rng.sample(stage.live_endpoints(service.name), many)
+        names = stage.rng.sample(stage.live_endpoints(service.name), count)
         for name in names:
             plan = stage.fleet.endpoints[name].plan
             plan.fault, plan.share, plan.probe_too = fault, share, probe_too
@@ -53,14 +56,14 @@
 
 
 async def two_faced(stage: stages.Stage) -> None:
-    """One answers probes and fails requests, one the reverse; then they change places."""
+    """One endpoint passes probes and fails requests, another the reverse; then they swap."""
     service = stage.rng.choice(stage.fleet.shape.services)
     names = stage.rng.sample(stage.live_endpoints(service.name), 2)
-    for turn in range(4):
+    for round_number in range(4):
         for n, name in enumerate(names):
             plan = stage.fleet.endpoints[name].plan
             plan.fault, plan.share = "status_502", 1.0
-            plan.probe_too = plan.probe_only = (n + turn) % 2 == 0
+            plan.probe_too = plan.probe_only = (n + round_number) % 2 == 0
         await asyncio.sleep(3.0)
     for name in names:
         plan = stage.fleet.endpoints[name].plan
@@ -68,37 +71,37 @@
 
 
 async def fail_service(stage: stages.Stage) -> None:
-    """A whole service fails: nothing helps, and extra goes must stay bounded."""
+    """A whole service fails: retries do not help and must stay bounded."""
     service = stage.rng.choice(stage.fleet.shape.services)
     names = stage.live_endpoints(service.name)
-    begun = stage.now
+    started_at = stage.now
     for name in names:
         plan = stage.fleet.endpoints[name].plan
         plan.fault, plan.share = "status_502", 1.0
     await asyncio.sleep(8.0)
     for name in names:
         stage.fleet.endpoints[name].plan.fault = "none"
-    stage.story.failing.append(histories.Span(service.name, begun, stage.now))
+    stage.story.failing.append(histories.Span(service.name, started_at, stage.now))
 
 
 async def press_budget(stage: stages.Stage) -> None:
-    """Failures that come and go, with proxies dying and coming back amid them."""
+    """A service fails intermittently while proxies are killed and restarted."""
     service = stage.rng.choice(stage.fleet.shape.services)
-    begun = stage.now
-    for share, span in ((0.15, 5.0), (1.0, 4.0), (0.0, 3.0), (1.0, 4.0)):
+    started_at = stage.now
+    for share, duration_s in ((0.15, 5.0), (1.0, 4.0), (0.0, 3.0), (1.0, 4.0)):
         for name in stage.live_endpoints(service.name):
             plan = stage.fleet.endpoints[name].plan
             plan.fault, plan.share = "promise", share
         edge = stage.edge()
         edge.node.kill()
-        at = stage.now
-        await asyncio.sleep(span / 2)
+        killed_at = stage.now
+        await asyncio.sleep(duration_s / 2)
         edge.node.restart()
-        stage.mark_gone([edge], at)
-        await asyncio.sleep(span / 2)
+        stage.mark_gone([edge], killed_at)
+        await asyncio.sleep(duration_s / 2)
     for name in stage.live_endpoints(service.name):
         stage.fleet.endpoints[name].plan.fault = "none"
-    stage.story.failing.append(histories.Span(service.name, begun, stage.now))
+    stage.story.failing.append(histories.Span(service.name, started_at, stage.now))
 
 
 FAULTS: typing.Final[dict[str, stages.Fault]] = {
--- a/packages/simulator/src/dykeswitch/simulator/faults/full.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/full.py
@@ -1,4 +1,4 @@
-"""Endpoints that are full, slow, unequal, warming up, or spend their slots on probes."""
+"""Endpoints that are full, slow, of unequal speed, warming up, or use their slots for probes."""
 
 import asyncio
 import contextlib
@@ -9,68 +9,68 @@
 import dykeswitch.standin.nature as profiles
 import dykeswitch.standin.shape as shapes
 
-# How many requests come to press on a service, over how many seconds, and for each second
-# how many all its endpoints together get done meanwhile.
-PRESS: typing.Final = (60, 1.5)
-DONE: typing.Final = 12.0
+# The number of requests in a burst with its duration in seconds, and the requests per second that
+# all endpoints of the service complete together meanwhile.
+BURST: typing.Final = (60, 1.5)
+COMPLETED_PER_S: typing.Final = 12.0
 
 
-def _pace(service: shapes.ServiceShape, names: typing.Sequence[str], done: float) -> float:
-    """How slow endpoints of one slot each must be to get so many a second done together."""
-    return len(names) / (done * service.work_s)
+def _slow_down(service: shapes.ServiceShape, names: typing.Sequence[str], rate: float) -> float:
+    """Return the slow-down at which endpoints of one slot each complete `rate` requests a second together."""
+    return len(names) / (rate * service.work_s)
 
 
 def few_slots(full: str) -> stages.Fault:
-    """A third of each service has a slot and a place to wait each, and is slow: the rest has room."""
+    """A third of each service's endpoints are slow, with one slot and one queue place; the rest have room."""
 
     async def act(stage: stages.Stage) -> None:
         services = stage.fleet.shape.services
         with contextlib.ExitStack() as stack:
             for service in services:
                 names = stage.some_of(service.name, 1 / 3)
-                pace = _pace(service, names, DONE / 3)
-                few = stage.with_profile(names, slots=1, queue=1, full=full, pace=pace, tells=True)
-                stack.enter_context(few)
+                slow_down = _slow_down(service, names, COMPLETED_PER_S / 3)
+                limited = stage.with_profile(names, slots=1, queue=1, full=full, pace=slow_down, tells=True)
+                stack.enter_context(limited)
             for _ in range(2):
-                await asyncio.gather(*(stage.fleet.clients.send_burst(s, *PRESS) for s in services))
+                await asyncio.gather(*(stage.fleet.clients.send_burst(s, *BURST) for s in services))
                 await asyncio.sleep(1.5)
 
     return act
 
 
 def all_full(full: str) -> stages.Fault:
-    """More writes come than all of a service can take on: each runs once or not at all."""
+    """More writes arrive than a service's endpoints can accept: each runs once or not at all."""
 
     async def act(stage: stages.Stage) -> None:
         service = next(s for s in stage.fleet.shape.services if s.writing)
         names = stage.live_endpoints(service.name)
-        pace = _pace(service, names, DONE)
+        slow_down = _slow_down(service, names, COMPLETED_PER_S)
         with (
-            stage.with_profile(names, slots=1, queue=1, full=full, pace=pace, tells=True),
+            stage.with_profile(names, slots=1, queue=1, full=full, pace=slow_down, tells=True),
             stage.failing(service.name),
         ):
-            await stage.fleet.clients.send_burst(service, *PRESS)
+            await stage.fleet.clients.send_burst(service, *BURST)
             await asyncio.sleep(1.0)
 
     return act
 
 
 async def late_in_queue(stage: stages.Stage) -> None:
-    """Long queues, and callers in a hurry: expiries run out, and pipes close, amid the queue."""
+    """Long queues and short deadlines: requests expire, and connections close, while they are queued."""
     service = dataclasses.replace(stage.any_service(), expiry_s=1.0)
     names = stage.live_endpoints(service.name)
     with (
         stage.with_profile(
-            names, slots=1, queue=30, pace=_pace(service, names, DONE), tells=True, stops=True
+            names, slots=1, queue=30, pace=_slow_down(service, names, COMPLETED_PER_S), tells=True, stops=True
         ),
         stage.failing(service.name),
     ):
-        await stage.fleet.clients.send_burst(service, *PRESS)
+        await stage.fleet.clients.send_burst(service, *BURST)
         await asyncio.sleep(2.0)
 
 
 async def unequal(stage: stages.Stage) -> None:
-    """Every endpoint at a speed of its own, slower when pressed, its work spread far."""
+    """Each endpoint has its own speed, is slower under load, and its work varies widely."""
     names = stage.live_endpoints()
     with stage.with_profile(names, slots=2, queue=8, press=2.0, spread=0.6, tells=True):
         for name in names:
@@ -82,7 +82,7 @@
 
 
 async def warm_up(stage: stages.Stage) -> None:
-    """A release of half a service, each of whose new endpoints is slow for some seconds."""
+    """Half of a service's endpoints are replaced; each new one is slow for some seconds."""
     service = stage.any_service()
     for name in stage.some_of(service.name, 1 / 2):
         address = stage.fleet.world.address()
@@ -92,7 +92,7 @@
 
 
 async def dear_probes(stage: stages.Stage) -> None:
-    """Probes wait for a slot as requests do, and cost work."""
+    """Probes wait for a slot as requests do, and take time."""
     service = stage.any_service()
     names = stage.live_endpoints(service.name)
     with stage.with_profile(names, slots=2, queue=8, probe_s=0.1, tells=True):
@@ -100,7 +100,7 @@
 
 
 async def long_queue(stage: stages.Stage) -> None:
-    """One endpoint lets many wait, at a tenth of its speed, and gives up what nobody waits for."""
+    """One slow endpoint, at a tenth of its speed, has a long queue and cancels abandoned requests."""
     service = stage.any_service()
     with stage.with_profile(stage.some_of(service.name, 0.1), slots=1, queue=60, pace=10.0, drops=True):
         await asyncio.sleep(7.0)
--- a/packages/simulator/src/dykeswitch/simulator/faults/garbage.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/garbage.py
@@ -1,25 +1,25 @@
-"""Replies that are lost, cut off in odd places, no replies at all, or one too many."""
+"""Responses that are lost, truncated, malformed, unsigned or surplus."""
 
 import asyncio
 import typing
 
 import dykeswitch.simulator.stage as stages
 
-# The share of requests that fails at an endpoint so planned, and how requests come to it:
-# so many of each service within a moment, several times.
+# The share of requests that a planned endpoint fails, and the bursts that are sent to each service:
+# requests and duration in seconds of one burst, and number of bursts.
 SHARE: typing.Final = 0.5
 BURST: typing.Final = (25, 0.08)
-TURNS: typing.Final = 3
+BURSTS: typing.Final = 3
 
 
-def spoil(fault: str, part: float = 0.4, share: float = SHARE, **more: bool) -> stages.Fault:
-    """A part of each service fails in one way, under bursts: many goes are out before a mark is."""
+def spoil(fault: str, part: float = 0.4, share: float = SHARE, **probe_options: bool) -> stages.Fault:
+    """Some endpoints of each service fail in one way; bursts bring many attempts before the first mark."""
 
     async def act(stage: stages.Stage) -> None:
         services = stage.fleet.shape.services
         names = [name for s in services for name in stage.some_of(s.name, part)]
-        with stage.with_fault_plan(names, fault, share, **more):
-            for _ in range(TURNS):
+        with stage.with_fault_plan(names, fault, share, **probe_options):
+            for _ in range(BURSTS):
                 await asyncio.gather(*(stage.fleet.clients.send_burst(s, *BURST) for s in services))
                 await asyncio.sleep(1.0)
 
@@ -45,6 +45,6 @@
     "spoil_surplus_soon": spoil("surplus_soon"),
     "spoil_surplus_late": spoil("surplus_late"),
 }
-# A whole reply that says neither whose it is nor to what can only be told where endpoints
-# seal their replies.
+# A complete response that names neither its endpoint nor its request can only be recognised where
+# endpoints seal their responses.
 SEALED: typing.Final = frozenset({"spoil_unsigned"})
--- a/packages/simulator/src/dykeswitch/simulator/faults/proxies.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/proxies.py
@@ -9,75 +9,77 @@
 
 
 async def kill_proxy(stage: stages.Stage) -> None:
+    """A proxy is killed and restarted."""
     edge = stage.edge()
-    begun = stage.now
+    started_at = stage.now
     edge.node.kill()
     await asyncio.sleep(1.0)
     edge.node.restart()
-    stage.mark_gone([edge], begun)
+    stage.mark_gone([edge], started_at)
     await asyncio.sleep(2.0)
 
 
 async def kill_herd(stage: stages.Stage) -> None:
+    """Half the proxies are killed at once and restarted."""
     edges = stage.up_edges()
-    herd = stage.rng.sample(edges, len(edges) // 2)
-    begun = stage.now
-    for edge in herd:
+    group = stage.rng.sample(edges, len(edges) // 2)
+    started_at = stage.now
+    for edge in group:
         edge.node.kill()
     await asyncio.sleep(1.5)
-    for edge in herd:
+    for edge in group:
         edge.node.restart()
-    stage.mark_gone(herd, begun)
+    stage.mark_gone(group, started_at)
     await asyncio.sleep(3.0)
 
 
 async def restart_in_turn(stage: stages.Stage) -> None:
-    """Orderly stops, one machine after another."""
+    """Graceful stops, one proxy after another."""
     for edge in stage.up_edges()[:4]:
-        begun = stage.now
+        started_at = stage.now
         await stage.stop(edge.node)
-        stage.story.stops.append(histories.Span(edge.web, begun, stage.now))
+        stage.story.stops.append(histories.Span(edge.web, started_at, stage.now))
         edge.node.restart()
         await asyncio.sleep(1.0)
 
 
 async def stop_with_long_work(stage: stages.Stage) -> None:
-    """Work of 3, 5 and 8 s is in hand when the polite signal comes."""
+    """Requests with 3, 5 and 8 s of work are in progress when SIGTERM arrives."""
     edge = stage.edge()
     services = stage.fleet.shape.services
     reading = next(s for s in services if not s.writing)
     writing = next(s for s in services if s.writing)
     requests = [
-        asyncio.create_task(stage.fleet.clients.send_request(service, edge.web, f"&work={span}"))
+        asyncio.create_task(stage.fleet.clients.send_request(service, edge.web, f"&work={work_s}"))
         for service in (reading, writing)
-        for span in (3, 5, 8)
+        for work_s in (3, 5, 8)
     ]
     await asyncio.sleep(0.2)
-    begun = stage.now
+    started_at = stage.now
     await stage.stop(edge.node)
-    stage.story.stops.append(histories.Span(edge.web, begun, stage.now))
-    done = await asyncio.gather(*requests)
-    for request, span in zip(done, (3, 5, 8, 3, 5, 8)):
+    stage.story.stops.append(histories.Span(edge.web, started_at, stage.now))
+    answered = await asyncio.gather(*requests)
+    for request, work_s in zip(answered, (3, 5, 8, 3, 5, 8)):
         stage.story.ignoring_readiness.add(request.name)
-        want = [(200, 0, False)] if span < 8 else [(504, 109, False)]
-        # A reading go may give up on one endpoint for the sake of another try.
-        if span == 5 and not request.writing:
-            want.append((504, 109, False))
-        if (request.status, request.result, request.retry_after) not in want:
+        allowed = [(200, 0, False)] if work_s < 8 else [(504, 109, False)]
+        # An attempt at a read may give up on one endpoint in favour of another attempt.
+        if work_s == 5 and not request.writing:
+            allowed.append((504, 109, False))
+        if (request.status, request.result, request.retry_after) not in allowed:
             got = f"{request.status} {request.result} {request.retry_after} {request.error}"
             stage.report_failure(
-                f"work of {span} s (writing {request.writing}) over an orderly stop got {got}"
+                f"work of {work_s} s (writing {request.writing}) across a graceful stop got {got}"
             )
     edge.node.restart()
     await asyncio.sleep(2.0)
 
 
 async def freeze_proxy(stage: stages.Stage) -> None:
-    """Frozen over a change of layout and a leaving endpoint, then woken."""
+    """A proxy is frozen during a layout change and an endpoint's departure, then resumed."""
     edge = stage.edge()
-    begun = stage.now
+    started_at = stage.now
     edge.node.freeze()
-    holding = asyncio.create_task(stage.keep_sending(edge, 8.0))
+    sending = asyncio.create_task(stage.keep_sending(edge, 8.0))
     await asyncio.sleep(1.0)
     await stage.change()
     leaving = stage.rng.choice(stage.live_endpoints())
@@ -85,46 +87,46 @@
     stage.new_endpoint(service, stage.fleet.world.address())
     await stage.fleet.drain_endpoint(leaving, 4.0)
     edge.node.thaw()
-    stage.mark_gone([edge], begun)
-    await holding
+    stage.mark_gone([edge], started_at)
+    await sending
     await asyncio.sleep(2.0)
 
 
 async def freeze_herd(stage: stages.Stage) -> None:
-    """Half the proxies freeze for a moment about as long as counts as a freeze."""
-    herd = stage.rng.sample(stage.up_edges(), len(stage.up_edges()) // 2)
-    begun = stage.now
-    for edge in herd:
+    """Half the proxies freeze for about as long as the gap that counts as a freeze."""
+    group = stage.rng.sample(stage.up_edges(), len(stage.up_edges()) // 2)
+    started_at = stage.now
+    for edge in group:
         edge.node.freeze()
     await asyncio.sleep(stage.rng.uniform(0.3, 1.5))
     await stage.change()
-    for edge in herd:
+    for edge in group:
         edge.node.thaw()
-    stage.mark_gone(herd, begun)
+    stage.mark_gone(group, started_at)
     await asyncio.sleep(3.0)
 
 
 async def isolate_proxy(stage: stages.Stage) -> None:
-    """Cut off from every other node, while callers hold on to it, a rule moves, one leaves."""
+    """A proxy is cut off from all nodes while its clients stay, a rule changes and an endpoint leaves."""
     edge = stage.edge()
     stage.links.cut([edge.node.name], stage.core_names() + stage.edge_names())
-    holding = asyncio.create_task(stage.keep_sending(edge, 9.0))
+    sending = asyncio.create_task(stage.keep_sending(edge, 9.0))
     await asyncio.sleep(0.5)
     await stage.change()
-    # One that this proxy would select: near ones go first.
+    # An endpoint that this proxy would select: those in its zone are preferred.
     live = stage.live_endpoints()
-    near = [n for n in live if stage.fleet.endpoints[n].zone == edge.zone]
-    leaving = stage.rng.choice(near or live)
+    same_zone = [n for n in live if stage.fleet.endpoints[n].zone == edge.zone]
+    leaving = stage.rng.choice(same_zone or live)
     service = stage.shape_of(stage.fleet.endpoints[leaving].service)
     stage.new_endpoint(service, stage.fleet.world.address())
     await stage.fleet.drain_endpoint(leaving, 4.0)
     stage.links.heal()
-    await holding
+    await sending
     await asyncio.sleep(1.0)
 
 
 async def cut_proxies_from_cores(stage: stages.Stage) -> None:
-    """Half the proxies lose every core but still reach the other half."""
+    """Half the proxies reach no core but still reach the other half of the proxies."""
     edges = stage.rng.sample(stage.up_edges(), len(stage.up_edges()) // 2)
     stage.links.cut([e.node.name for e in edges], stage.core_names())
     await asyncio.sleep(2.0)
@@ -135,34 +137,34 @@
 
 
 async def replace_proxies(stage: stages.Stage) -> None:
-    """Proxies go and others come under new names within ten seconds, a service failing amid it."""
+    """Proxies are replaced under new names within ten seconds while a service fails."""
     fleet = stage.fleet
     service = stage.rng.choice(fleet.shape.services)
-    begun = stage.now
+    started_at = stage.now
     names = stage.live_endpoints(service.name)
     for name in names:
         fleet.endpoints[name].plan.fault, fleet.endpoints[name].plan.share = "promise", 1.0
-    for turn in range(3):
+    for round_number in range(3):
         for edge in stage.rng.sample(stage.up_edges(), 3):
             edge.node.kill()
             stage.mark_gone([edge], stage.now)
             stage.fresh += 1
-            # At the very address, so that the platform knows it.
+            # At the same address, so that the platform knows it.
             fresh = fleet.edge(f"proxy-new{stage.fresh}", stage.fresh, edge.web)
             fleet.edges[fleet.edges.index(edge)] = fresh
             fresh.node.start()
-        await asyncio.sleep(3.0 + turn)
+        await asyncio.sleep(3.0 + round_number)
     for name in names:
         fleet.endpoints[name].plan.fault = "none"
-    stage.story.failing.append(histories.Span(service.name, begun, stage.now))
+    stage.story.failing.append(histories.Span(service.name, started_at, stage.now))
     await asyncio.sleep(1.0)
 
 
 async def too_many_proxies(stage: stages.Stage) -> None:
-    """Twice the proxies, that nobody was told of, and a service fails for all of them."""
+    """Unannounced proxies double the number of proxies, and a service fails for all of them."""
     fleet = stage.fleet
-    before = len(fleet.edges)
-    for _ in range(before):
+    original_count = len(fleet.edges)
+    for _ in range(original_count):
         stage.fresh += 1
         fresh = fleet.edge(f"proxy-more{stage.fresh}", stage.fresh)
         fleet.edges.append(fresh)
@@ -170,33 +172,33 @@
         fresh.node.start()
     await asyncio.sleep(3.0)
     service = fleet.shape.services[0]
-    await _press(stage, service)
-    having = [e for e in fleet.edges if _borrowed(e, service.name)]
-    if len(having) <= before:
-        stage.report_failure(f"{len(having)} of {len(fleet.edges)} proxies were lent extra goes")
+    await _fail_service(stage, service)
+    borrowers = [e for e in fleet.edges if _borrowed(e, service.name)]
+    if len(borrowers) <= original_count:
+        stage.report_failure(f"only {len(borrowers)} of {len(fleet.edges)} proxies were lent retry tokens")
     page = await fleet.query(f"show loans service {service.name}", stage.core())
     rows = page["rows"] if page else []
     floor = fleet.settings().extra_floor
     if not 0 < sum(row[5] for row in rows) <= sum(row[6] for row in rows) <= floor:
-        stage.report_failure(f"'show loans' tells of more out than the floor, or of nothing: {rows}")
+        stage.report_failure(f"'show loans' lists no loans, or more than the floor: {rows}")
 
 
 def _borrowed(edge: typing.Any, service: str) -> int:
-    """Coins that a proxy has of a service's floor."""
+    """Return how many retry tokens of a service's floor are lent to a proxy."""
     daemon = edge.node.daemon
     budget = daemon.carrier.budgets.get(service)
     return budget.lent(daemon.clock.now()) if budget is not None else 0
 
 
-async def _press(stage: stages.Stage, service: shapes.ServiceShape) -> None:
-    begun = stage.now
+async def _fail_service(stage: stages.Stage, service: shapes.ServiceShape) -> None:
+    started_at = stage.now
     for name in stage.live_endpoints(service.name):
         plan = stage.fleet.endpoints[name].plan
         plan.fault, plan.share = "promise", 1.0
     await asyncio.sleep(6.0)
     for name in stage.live_endpoints(service.name):
         stage.fleet.endpoints[name].plan.fault = "none"
-    stage.story.failing.append(histories.Span(service.name, begun, stage.now))
+    stage.story.failing.append(histories.Span(service.name, started_at, stage.now))
 
 
 FAULTS: typing.Final[dict[str, stages.Fault]] = {
--- a/packages/simulator/src/dykeswitch/simulator/faults/routes.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/routes.py
@@ -1,4 +1,4 @@
-"""Routes that change while requests on them are at work."""
+"""Routes that change while requests on them are in progress."""
 
 import asyncio
 import typing
@@ -6,16 +6,16 @@
 import dykeswitch.simulator.stage as stages
 import dykeswitch.standin.faults as endpoint_faults
 
-# How often the route goes and comes back, and how many requests are at work on it each time.
-TURNS: typing.Final = 2
-AT_WORK: typing.Final = 20
-# The part of requests whose endpoint breaks off half way through its answer.
+# How often the route is changed and restored, and how many requests are in progress on it each time.
+ROUNDS: typing.Final = 2
+CONCURRENT_REQUESTS: typing.Final = 20
+# The share of requests whose endpoint aborts its response half-way.
 SHARE: typing.Final = 0.7
-# A change is sent once all requests have the first half of their answers, and is in force before
-# their endpoints break off.
+# The change is sent once all requests have received half of their response, and takes effect before
+# their endpoints abort.
 CHANGE_AFTER_S: typing.Final = 0.1 * endpoint_faults.HALF_WAY_S
-# How long a request takes at the most: each of its three tries breaks off half way.
-ENDS_S: typing.Final = 4 * endpoint_faults.HALF_WAY_S
+# The longest that a request takes: each of its three attempts is aborted half-way.
+MAX_REQUEST_S: typing.Final = 4 * endpoint_faults.HALF_WAY_S
 
 Rules = list[dict[str, typing.Any]]
 
@@ -33,19 +33,21 @@
 
 
 def change_amid_reads(changed: typing.Callable[[Rules], Rules]) -> stages.Fault:
-    """A route is changed, and changed back, while answers to reads on it are half way."""
+    """Change a route and restore it while responses to reads on it are half-way."""
 
     async def act(stage: stages.Stage) -> None:
         fleet = stage.fleet
-        kept = {service.name for service in fleet.slots}
-        names = sorted(name for name, endpoint in fleet.endpoints.items() if endpoint.service in kept)
+        rotated = {service.name for service in fleet.slots}
+        names = sorted(name for name, endpoint in fleet.endpoints.items() if endpoint.service in rotated)
         with stage.with_fault_plan(names, "cut_late", SHARE):
-            for _ in range(TURNS):
-                requests = [asyncio.create_task(fleet.clients.check_route()) for _ in range(AT_WORK)]
+            for _ in range(ROUNDS):
+                requests = [
+                    asyncio.create_task(fleet.clients.check_route()) for _ in range(CONCURRENT_REQUESTS)
+                ]
                 await asyncio.sleep(CHANGE_AFTER_S)
                 layout = stage.layout()
                 await fleet.put({**layout, "rules": changed(layout["rules"])}, stage.core())
-                await asyncio.sleep(ENDS_S)
+                await asyncio.sleep(MAX_REQUEST_S)
                 await stage.change()
                 await asyncio.gather(*requests)
 
--- a/packages/simulator/src/dykeswitch/simulator/realengine.py
+++ b/packages/simulator/src/dykeswitch/simulator/realengine.py
@@ -1,6 +1,6 @@
-"""The engine of real days: a fleet of processes, its traffic, tracks of acts, calm, and a verdict.
+"""Runs a fleet of real processes with traffic and tracks of acts, then a calm period, and records it.
 
-`trial --real` plays one track of acts; a soak plays several that overlap one another.
+`trial --real` runs one track of acts; a soak runs several concurrently.
 """
 
 import asyncio
@@ -18,14 +18,14 @@
 import dykeswitch.standin.shape as shapes
 from dykeswitch.simulator.realstage import RealStage
 
-# Traffic goes on until the callers are halted.
+# Long enough that traffic runs until the clients are stopped.
 ENDLESS_S: typing.Final = 100000.0
-TRAFFIC_FIRST_S: typing.Final = 3.0
+TRAFFIC_LEAD_S: typing.Final = 3.0
 CALM_SLACK_S: typing.Final = 5.0
 WIRE_S: typing.Final = 0.25
-# How often it is looked whether processes run, and what they hold, in seconds.
-WATCH_S: typing.Final = 0.2
-SAMPLE_S: typing.Final = 1.0
+# Intervals of the checks for exited processes and of the samples of resource usage.
+EXIT_CHECK_INTERVAL_S: typing.Final = 0.2
+SAMPLE_INTERVAL_S: typing.Final = 1.0
 
 
 class Step(typing.Protocol):
@@ -38,18 +38,18 @@
 
     @property
     def after_s(self) -> float:
-        """After which pause it begins, in seconds."""
+        """The pause before it starts, in seconds."""
         ...
 
     @property
     def seed(self) -> int:
-        """The seed of what it draws."""
+        """The seed of its random choices."""
         ...
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Played:
-    """When an act was played, in seconds from the first one's begin."""
+    """An act that was run, with its start and end in seconds from the start of the first act."""
 
     track: str
     act: str
@@ -59,17 +59,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Day:
-    """What was played and seen on a real fleet."""
+    """What was run and observed on a real fleet."""
 
     stage: RealStage
     up_s: float = 0.0
     started_at: float = 0.0
     acts: list[Played] = dataclasses.field(default_factory=list)
-    held: list[resources.Held] = dataclasses.field(default_factory=list)
+    resource_samples: list[resources.ResourceUsage] = dataclasses.field(default_factory=list)
 
     @property
     def spans(self) -> list[tuple[str, float, float]]:
-        """Each act with its begin and end, by the stage's clock."""
+        """Each act with its start and end by the stage's clock."""
         return [(act.act, self.started_at + act.begun, self.started_at + act.ended) for act in self.acts]
 
 
@@ -87,29 +87,29 @@
     folder: pathlib.Path | None = None,
     prepare: Prepare = lambda stage: None,
 ) -> Day:
-    """Play tracks on a fleet of a shape; no act begins after `seconds`, and without them all are played."""
+    """Run tracks on a fleet; no act starts after `seconds`, and if that is None all acts are run."""
     async with real.running(shape, seed, check_routes=True, folder=folder) as fleet:
         day = Day(RealStage(fleet))
         prepare(day.stage)
         day.up_s = await _start(day.stage)
-        fleet.spawn(_watch_ends(day.stage))
+        fleet.spawn(_watch_exits(day.stage))
         traffic = asyncio.create_task(fleet.clients.run_traffic(ENDLESS_S, scale))
         route_checks = asyncio.create_task(fleet.clients.check_routes_forever(scenarios.ROUTE_CHECKS_PER_S))
-        await asyncio.sleep(TRAFFIC_FIRST_S)
+        await asyncio.sleep(TRAFFIC_LEAD_S)
         fleet.spawn(_watch_resources(day))
-        base = resources.look(fleet, day.stage.now)
+        usage_before = resources.measure(fleet, day.stage.now)
         day.started_at = day.stage.now
         async with asyncio.TaskGroup() as group:
             for name, steps in tracks.items():
                 group.create_task(_play_track(day, name, steps, acts, seconds))
         day.stage.story.faults_ended_at = day.stage.now
         await asyncio.sleep(histories.RECOVER_S + CALM_SLACK_S)
-        last = resources.look(fleet, day.stage.now)
+        usage_after = resources.measure(fleet, day.stage.now)
         fleet.clients.stop_sending()
         await asyncio.gather(traffic, route_checks)
-        day.stage.story.leaks += resources.grown(base, last)
-        day.stage.story.leaks += await resources.still_at_work(fleet)
-        _close(day.stage)
+        day.stage.story.leaks += resources.find_growth(usage_before, usage_after)
+        day.stage.story.leaks += await resources.find_active_requests(fleet)
+        _complete_history(day.stage)
         return day
 
 
@@ -122,47 +122,47 @@
 ) -> None:
     for step in steps:
         await asyncio.sleep(step.after_s)
-        begun = day.stage.now - day.started_at
-        if seconds is not None and begun >= seconds:
+        started_at = day.stage.now - day.started_at
+        if seconds is not None and started_at >= seconds:
             return
-        await acts[step.act](day.stage.acting(step.seed))
-        day.acts.append(Played(name, step.act, begun, day.stage.now - day.started_at))
+        await acts[step.act](day.stage.with_seed(step.seed))
+        day.acts.append(Played(name, step.act, started_at, day.stage.now - day.started_at))
 
 
 async def _start(stage: RealStage) -> float:
-    """Start the fleet and wait until every duty has its owner; seconds until it was up."""
-    begun = stage.now
+    """Start the fleet and wait until every probe slot has its owner; return the seconds until it was up."""
+    started_at = stage.now
     up_s = await stage.fleet.start()
     body = json.dumps(stage.fleet.first, sort_keys=True)
-    first = observations.LayoutPut(begun, body, None, stage.now, 200, stage.fleet.first_version)
+    first = observations.LayoutPut(started_at, body, None, stage.now, 200, stage.fleet.first_version)
     stage.story.puts.append(first)
     stage.fleet.spawn(stage.sample())
     await asyncio.sleep(scenarios.SETTLED_S)
     return up_s
 
 
-async def _watch_ends(stage: RealStage) -> None:
-    """Tell of each process that ends without having been told to."""
-    told: set[int] = set()
+async def _watch_exits(stage: RealStage) -> None:
+    """Record each process that exits without having been told to."""
+    reported: set[int] = set()
     while True:
         for process in stage.fleet.processes():
             if process.started and not process.running() and not process.told_to_end:
-                if process.pid not in told:
-                    told.add(process.pid)
-                    stage.story.crashes.append(f"{process.name} ended by itself with {process.code}")
-        await asyncio.sleep(WATCH_S)
+                if process.pid not in reported:
+                    reported.add(process.pid)
+                    stage.story.crashes.append(f"{process.name} exited by itself with code {process.code}")
+        await asyncio.sleep(EXIT_CHECK_INTERVAL_S)
 
 
 async def _watch_resources(day: Day) -> None:
     while True:
-        day.held.append(resources.look(day.stage.fleet, day.stage.now))
-        await asyncio.sleep(SAMPLE_S)
+        day.resource_samples.append(resources.measure(day.stage.fleet, day.stage.now))
+        await asyncio.sleep(SAMPLE_INTERVAL_S)
 
 
-def _close(stage: RealStage) -> None:
-    """Bring what callers and endpoints saw into the history."""
+def _complete_history(stage: RealStage) -> None:
+    """Copy what clients and endpoints observed into the history."""
     story, fleet = stage.story, stage.fleet
-    # Processes are scheduled by the machine: what they do is seen a little later.
+    # The operating system schedules the processes, so their actions are observed a little later.
     story.wire_s = WIRE_S
     story.arrivals, story.left = fleet.gather()
     story.requests = list(fleet.record.requests.values())
--- a/packages/simulator/src/dykeswitch/simulator/realfaults.py
+++ b/packages/simulator/src/dykeswitch/simulator/realfaults.py
@@ -1,4 +1,4 @@
-"""The faults of a day on real processes, each with its name."""
+"""The faults that are run on real processes, by name."""
 
 import asyncio
 import pathlib
@@ -14,96 +14,96 @@
 
 
 async def kill_proxy(stage: RealStage) -> None:
-    """A proxy is killed and comes back."""
+    """A proxy is killed and restarted."""
     proxy = stage.rng.choice(stage.fleet.proxies)
-    begun = stage.now
+    started_at = stage.now
     await stage.kill(proxy)
     await asyncio.sleep(1)
-    stage.again(proxy)
-    stage.mark_gone([proxy], begun)
+    stage.restart(proxy)
+    stage.mark_gone([proxy], started_at)
     await asyncio.sleep(3)
 
 
 async def kill_herd(stage: RealStage) -> None:
-    """Half of the proxies are killed at once and come back."""
+    """Half the proxies are killed at once and restarted."""
     killed = stage.rng.sample(stage.fleet.proxies, len(stage.fleet.proxies) // 2)
-    begun = stage.now
+    started_at = stage.now
     for proxy in killed:
         await stage.kill(proxy)
     await asyncio.sleep(1)
     for proxy in killed:
-        stage.again(proxy)
-    stage.mark_gone(killed, begun)
+        stage.restart(proxy)
+    stage.mark_gone(killed, started_at)
     await asyncio.sleep(4)
 
 
 async def restart_in_turn(stage: RealStage) -> None:
-    """Proxies stop in order and come back, one after the other."""
+    """Proxies are stopped gracefully and restarted, one after another."""
     for proxy in stage.fleet.proxies[:3]:
-        begun = stage.now
+        started_at = stage.now
         proxy.tell(signal.SIGTERM)
         code = await proxy.gone(7.5)
-        stage.story.stops.append(histories.Span(proxy.web, begun, stage.now))
-        stage.notes[f"stop {proxy.name}"] = [code, round(stage.now - begun, 2)]
+        stage.story.stops.append(histories.Span(proxy.web, started_at, stage.now))
+        stage.notes[f"stop {proxy.name}"] = [code, round(stage.now - started_at, 2)]
         if code != 0:
-            stage.story.crashes.append(f"{proxy.name} ended with {code}")
+            stage.story.crashes.append(f"{proxy.name} exited with {code}")
             await stage.kill(proxy)
-        stage.again(proxy)
+        stage.restart(proxy)
         await asyncio.sleep(2)
 
 
 async def freeze_proxy(stage: RealStage) -> None:
-    """A proxy is frozen while a layout and an endpoint change."""
+    """A proxy is frozen while the layout changes and an endpoint leaves."""
     proxy = stage.rng.choice(stage.fleet.proxies)
-    begun = stage.now
+    started_at = stage.now
     proxy.tell(signal.SIGSTOP)
     await asyncio.sleep(1)
     await stage.put(stage.core())
-    host = stage.rng.choice(stage.live())
+    host = stage.rng.choice(stage.live_hosts())
     stage.new_host(host.spec["service"], stage.fleet.address())
     host.tell(signal.SIGTERM)
     await asyncio.sleep(4)
     proxy.tell(signal.SIGCONT)
-    stage.mark_gone([proxy], begun)
+    stage.mark_gone([proxy], started_at)
     await asyncio.sleep(3)
 
 
 async def isolate_proxy(stage: RealStage) -> None:
-    """Cut off from every other node, while callers hold on to it, a rule moves, one leaves."""
+    """A proxy is cut off from all nodes while its clients stay, a rule changes and an endpoint leaves."""
     proxy = stage.rng.choice(stage.fleet.proxies)
     names = [p.name for p in stage.fleet.proxies] + [registry.name for registry, _ in stage.fleet.cores]
     stage.fleet.relay.cut([proxy.name], names)
-    holding = asyncio.create_task(_keep_sending(stage, proxy, 9.0))
+    sending = asyncio.create_task(_keep_sending(stage, proxy, 9.0))
     await asyncio.sleep(0.5)
     await stage.put(stage.core())
-    host = stage.rng.choice(stage.live())
+    host = stage.rng.choice(stage.live_hosts())
     stage.new_host(host.spec["service"], stage.fleet.address())
     host.tell(signal.SIGTERM)
     await asyncio.sleep(5.0)
     if not stage.fleet.relay.held:
-        stage.story.crashes.append("the cut held nothing back")
+        stage.story.crashes.append("the cut kept back no packets")
     await stage.fleet.relay.heal()
-    await holding
+    await sending
     await asyncio.sleep(2.0)
 
 
-async def _keep_sending(stage: RealStage, proxy: real.Process, span: float) -> None:
-    """Callers that come to one proxy all the time, whatever the platform or it may say."""
-    crowd, end = stage.fleet.clients, stage.now + span
+async def _keep_sending(stage: RealStage, proxy: real.Process, duration_s: float) -> None:
+    """Send requests to one proxy continuously, whether or not the platform or it reports it ready."""
+    clients, end = stage.fleet.clients, stage.now + duration_s
 
     async def send_ignoring_readiness() -> None:
-        request = await crowd.send_request(stage.rng.choice(stage.fleet.shape.services), proxy.web)
+        request = await clients.send_request(stage.rng.choice(stage.fleet.shape.services), proxy.web)
         stage.story.ignoring_readiness.add(request.name)
 
     async with asyncio.TaskGroup() as group:
         while stage.now < end:
             await asyncio.sleep(0.1)
             group.create_task(send_ignoring_readiness())
-            group.create_task(crowd.check_route(proxy.web))
+            group.create_task(clients.check_route(proxy.web))
 
 
 async def cut_proxies_from_cores(stage: RealStage) -> None:
-    """Half the proxies lose every core but still reach the other half."""
+    """Half the proxies reach no core but still reach the other half of the proxies."""
     half = stage.rng.sample(stage.fleet.proxies, len(stage.fleet.proxies) // 2)
     stage.fleet.relay.cut([p.name for p in half], [registry.name for registry, _ in stage.fleet.cores])
     await asyncio.sleep(2.0)
@@ -114,7 +114,7 @@
 
 
 async def split_registries(stage: RealStage) -> None:
-    """Registries reach proxies and stores, and not each other."""
+    """Registries reach proxies and stores, but not each other."""
     names = [registry.name for registry, _ in stage.fleet.cores]
     stage.fleet.relay.cut(names, names)
     await asyncio.sleep(1.0)
@@ -150,28 +150,28 @@
     await asyncio.to_thread(data.mkdir)
     await asyncio.sleep(1)
     store.start()
-    begun = stage.now
+    started_at = stage.now
 
-    async def seated() -> bool:
+    async def voting() -> bool:
         try:
-            reply = await stage.fleet.machine.web.request("GET", store.web, "/readyz", [], b"", 1)
+            response = await stage.fleet.machine.web.request("GET", store.web, "/readyz", [], b"", 1)
         except (OSError, TimeoutError):
             return False
-        return reply.status == 200
+        return response.status == 200
 
-    while not await seated():
-        if stage.now - begun > 15:
-            stage.story.crashes.append("a wiped store was not seated within 15 s")
+    while not await voting():
+        if stage.now - started_at > 15:
+            stage.story.crashes.append("a wiped store did not vote again within 15 s")
             return
         await asyncio.sleep(0.1)
-    stage.notes["wiped store seated after s"] = round(stage.now - begun, 2)
+    stage.notes["wiped store seated after s"] = round(stage.now - started_at, 2)
     await asyncio.sleep(2)
     await stage.get(core)
 
 
 async def kill_endpoint(stage: RealStage) -> None:
-    """An endpoint is killed, and another comes."""
-    host = stage.rng.choice(stage.live())
+    """An endpoint is killed and replaced."""
+    host = stage.rng.choice(stage.live_hosts())
     await stage.kill(host)
     await asyncio.sleep(2)
     stage.new_host(host.spec["service"], stage.fleet.address())
@@ -179,9 +179,9 @@
 
 
 async def roll_endpoints(stage: RealStage) -> None:
-    """Endpoints of a service are replaced, one after the other."""
+    """Endpoints of a service are replaced one after another."""
     service = stage.rng.choice(stage.fleet.shape.services).name
-    for host in stage.live(service)[:3]:
+    for host in stage.live_hosts(service)[:3]:
         stage.new_host(service, stage.fleet.address())
         await asyncio.sleep(1.5)
         host.tell(signal.SIGTERM)
@@ -190,7 +190,7 @@
 
 async def hand_over_address(stage: RealStage) -> None:
     """An endpoint's address goes to another service."""
-    host = stage.rng.choice(stage.live())
+    host = stage.rng.choice(stage.live_hosts())
     other = stage.rng.choice([s for s in stage.fleet.shape.services if s.name != host.spec["service"]])
     await stage.kill(host)
     stage.new_host(other.name, host.spec["spot"])
@@ -208,17 +208,17 @@
 
 
 async def race_operators(stage: RealStage) -> None:
-    """Four layouts at once, and one that is broken."""
+    """Four concurrent layouts, then an invalid one."""
     await asyncio.gather(*(stage.put(stage.core()) for _ in range(4)))
-    broken = stage.layout()
-    broken["rules"].append({"path": "/x", "service": "nobody-knows"})
-    put = await stage.put(stage.core(), broken)
+    invalid = stage.layout()
+    invalid["rules"].append({"path": "/x", "service": "nobody-knows"})
+    put = await stage.put(stage.core(), invalid)
     stage.story.broken_bodies.add(put.body)
     await stage.get(stage.core())
 
 
 async def large_layout(stage: RealStage) -> None:
-    """A layout of some megabytes."""
+    """A layout of several megabytes."""
     doc = stage.layout()
     service = stage.fleet.shape.services[0].name
     doc["rules"] += [{"path": f"/large/{n}/{'x' * 900}", "service": service} for n in range(4000)]
@@ -233,48 +233,50 @@
 
 
 async def stop_cores_in_turn(stage: RealStage) -> None:
-    """Orderly stops of every registry and store, layouts coming meanwhile."""
+    """Graceful stops of every registry and store, one after another, during layout changes."""
     for core in stage.fleet.cores:
         for process in core:
-            begun = stage.now
+            started_at = stage.now
             changing = asyncio.create_task(stage.put(stage.core()))
             process.tell(signal.SIGTERM)
             code = await process.gone(histories.GRACE_S + 1)
-            stage.notes[f"stop {process.name}"] = [code, round(stage.now - begun, 2)]
+            stage.notes[f"stop {process.name}"] = [code, round(stage.now - started_at, 2)]
             if code != 0:
-                stage.story.crashes.append(f"{process.name} ended with {code}")
+                stage.story.crashes.append(f"{process.name} exited with {code}")
                 await stage.kill(process)
             await changing
-            stage.again(process)
+            stage.restart(process)
             await asyncio.sleep(3)
     await stage.get(stage.core())
 
 
 async def stop_with_long_work(stage: RealStage) -> None:
-    """Work of 3, 5 and 8 s is in hand when the polite signal comes."""
+    """Requests with 3, 5 and 8 s of work are in progress when SIGTERM arrives."""
     proxy = stage.rng.choice(stage.fleet.proxies)
     writing = next(s for s in stage.fleet.shape.services if s.writing)
     requests = [
-        asyncio.create_task(stage.fleet.clients.send_request(writing, proxy.web, f"&work={span}"))
-        for span in (3, 5, 8)
+        asyncio.create_task(stage.fleet.clients.send_request(writing, proxy.web, f"&work={work_s}"))
+        for work_s in (3, 5, 8)
     ]
     await asyncio.sleep(0.2)
-    begun = stage.now
+    started_at = stage.now
     proxy.tell(signal.SIGTERM)
     code = await proxy.gone(histories.GRACE_S + 1)
-    took = stage.now - begun
-    stage.story.stops.append(histories.Span(proxy.web, begun, stage.now))
-    done = await asyncio.gather(*requests)
-    seen = [(a.status, a.result, a.retry_after) for a in done]
-    stage.notes["long work over a stop"] = [code, round(took, 2), seen]
-    if seen != [(200, 0, False), (200, 0, False), (504, 109, False)] or took > histories.GRACE_S:
-        stage.story.crashes.append(f"work in hand at an orderly stop of {took:.2f} s got {seen}")
-    stage.again(proxy)
+    elapsed_s = stage.now - started_at
+    stage.story.stops.append(histories.Span(proxy.web, started_at, stage.now))
+    answered = await asyncio.gather(*requests)
+    results = [(request.status, request.result, request.retry_after) for request in answered]
+    stage.notes["long work over a stop"] = [code, round(elapsed_s, 2), results]
+    if results != [(200, 0, False), (200, 0, False), (504, 109, False)] or elapsed_s > histories.GRACE_S:
+        stage.story.crashes.append(
+            f"requests in progress across a graceful stop of {elapsed_s:.2f} s got {results}"
+        )
+    stage.restart(proxy)
     await asyncio.sleep(3)
 
 
 async def restart_all_cores(stage: RealStage) -> None:
-    """All cores are killed right after they acknowledged a layout."""
+    """All cores are killed right after a layout was acknowledged, and restarted."""
     await stage.put(stage.core())
     for core in stage.fleet.cores:
         for process in core:
--- a/packages/simulator/src/dykeswitch/simulator/registerbench.py
+++ b/packages/simulator/src/dykeswitch/simulator/registerbench.py
@@ -1,4 +1,4 @@
-"""A register by itself: voters on machines of their own, and proposers beside them."""
+"""A register on its own for tests: voters on separate machines, and proposers."""
 
 import asyncio
 import pathlib
@@ -16,7 +16,7 @@
 
 
 class _Store:
-    """A store with nothing round it: just the voter and its ear."""
+    """A minimal store: only the voter and its call server."""
 
     def __init__(
         self, node_address: str, disk: disks.SimDisk, machine: typing.Any, rng: random.Random
@@ -36,7 +36,7 @@
 
 
 class RegisterBench:
-    """Three voters, and proposers on a machine of their own."""
+    """Three voters, and proposers on a separate machine."""
 
     def __init__(self, seed: int, scratch: pathlib.Path, stores: int = 3) -> None:
         self.world = worlds.World(seed, scratch)
@@ -56,7 +56,7 @@
         self.nodes.append(node)
 
     async def start(self) -> register.MemberSet:
-        """Start the stores and seat them all."""
+        """Start the stores and install a member set of all of them."""
         for node in self.nodes:
             node.start()
         await asyncio.sleep(0.1)
@@ -69,16 +69,18 @@
         return members
 
     def proposer(self, name: str, machine: ports.Machine | None = None) -> proposers.Proposer:
-        """A proposer that knows the member set, on a machine of its own if one is given."""
-        here = machine or self.outside
-        call_client = frames.CallClient(here.net)
-        made = proposers.Proposer(name, call_client, here.clock, here.fault_points, 0.5, random.Random(name))
-        made.quorum.adopt(self.members)
-        return made
+        """Return a proposer that knows the member set, on `machine` if given."""
+        proposer_machine = machine or self.outside
+        call_client = frames.CallClient(proposer_machine.net)
+        proposer = proposers.Proposer(
+            name, call_client, proposer_machine.clock, proposer_machine.fault_points, 0.5, random.Random(name)
+        )
+        proposer.quorum.adopt(self.members)
+        return proposer
 
 
 def put(body: bytes, op: str) -> proposers.Step:
-    """A change to a body; made once however often it is tried."""
+    """Return a step that changes the body; it is applied once however often it is attempted."""
 
     def step(now: register.Value) -> register.Value | outcome.Failure:
         return now if now.version_of(op) is not None else now.successor(body, op)
--- a/packages/simulator/src/dykeswitch/simulator/soak/__init__.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/__init__.py
@@ -1,5 +1,6 @@
-"""A soak of real processes: signals, restarts and changes in series that overlap one another.
+"""Soak test of real processes: concurrent series of signals, restarts and changes.
 
-`plan` draws what is done from a seed, `acts` does it, `checks` judges what no history knows,
-`engine` plays a plan on a fleet, `report` tells of it. It stands on what `trial --real` has.
+`plan` generates the steps from a seed, `acts` implements them, `sizes` chooses the size of the fleet,
+`engine` runs a plan on a fleet, and `report` and `plots` present the outcome. It builds on the modules
+of `trial --real`.
 """
--- a/packages/simulator/src/dykeswitch/simulator/soak/acts.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/acts.py
@@ -1,4 +1,4 @@
-"""What a soak does beyond the acts of `trial --real`: the same in series, on many processes."""
+"""The acts of a soak in addition to those of `trial --real`: repeated and applied to many processes."""
 
 import asyncio
 import math
@@ -11,127 +11,127 @@
 import dykeswitch.standin.fleet as real
 from dykeswitch.simulator.realstage import RealStage
 
-# Between two steps of a series, in seconds.
-GAP_LEAST_S: typing.Final = 0.5
-GAP_MOST_S: typing.Final = 3.0
-# How long a process has for an orderly stop until the hard signal; and how often a series goes on.
-STOP_S: typing.Final = histories.GRACE_S + 1.5
-ROW: typing.Final = 5
-# How long callers come in one manner.
-MANNER_S: typing.Final = 5.0
+# Pause between two steps of a series.
+MIN_GAP_S: typing.Final = 0.5
+MAX_GAP_S: typing.Final = 3.0
+# Time for a graceful stop before SIGKILL, and the number of repetitions in a series.
+STOP_TIMEOUT_S: typing.Final = histories.GRACE_S + 1.5
+REPETITIONS: typing.Final = 5
+# How long clients keep one behavior.
+BEHAVIOR_S: typing.Final = 5.0
 
 
-def _gap(stage: RealStage) -> float:
-    return stage.rng.uniform(GAP_LEAST_S, GAP_MOST_S)
+def _random_gap(stage: RealStage) -> float:
+    return stage.rng.uniform(MIN_GAP_S, MAX_GAP_S)
 
 
-async def end_in_order(stage: RealStage, process: real.Process) -> None:
-    """An orderly stop with its grace; one that needs the hard signal is told of."""
-    begun = stage.now
-    # Until it is back; the stage says when.
-    stage.story.closed.append(histories.Span(process.web, begun, math.inf))
-    # One that is not up yet has nothing in hand, and no handler perhaps: any end is in order.
+async def stop_gracefully(stage: RealStage, process: real.Process) -> None:
+    """Stop a process with SIGTERM; report a crash if it needs SIGKILL or exits with an error."""
+    started_at = stage.now
+    # Closed until the process is back; `RealStage.restart` sets the end.
+    stage.story.closed.append(histories.Span(process.web, started_at, math.inf))
+    # A process that is not up yet has no requests and perhaps no signal handler: it may die of SIGTERM.
     was_up = process.is_up()
     process.tell(signal.SIGTERM)
-    code = await process.gone(STOP_S)
-    stage.story.stops.append(histories.Span(process.web, begun, stage.now))
+    code = await process.gone(STOP_TIMEOUT_S)
+    stage.story.stops.append(histories.Span(process.web, started_at, stage.now))
     if code is None:
-        stage.story.crashes.append(f"{process.name} had to be killed {STOP_S} s after SIGTERM")
+        stage.story.crashes.append(f"{process.name} had to be killed {STOP_TIMEOUT_S} s after SIGTERM")
         await stage.kill(process)
     elif code != 0 and (was_up or code != -signal.SIGTERM):
-        stage.story.crashes.append(f"{process.name} ended with {code} on SIGTERM")
+        stage.story.crashes.append(f"{process.name} exited with {code} on SIGTERM")
 
 
 async def roll_proxies(stage: RealStage) -> None:
-    """Every proxy stops and comes back; up to half of them are on their way at once."""
-    away = asyncio.Semaphore(max(1, len(stage.fleet.proxies) // 2))
+    """Every proxy is stopped and restarted, up to half of them at the same time."""
+    permits = asyncio.Semaphore(max(1, len(stage.fleet.proxies) // 2))
 
-    async def one(proxy: real.Process) -> None:
-        async with away:
-            await end_in_order(stage, proxy)
-            stage.again(proxy)
-            await _until_ready(stage, proxy)
+    async def restart_proxy(proxy: real.Process) -> None:
+        async with permits:
+            await stop_gracefully(stage, proxy)
+            stage.restart(proxy)
+            await _wait_ready(stage, proxy)
 
     async with asyncio.TaskGroup() as group:
         for proxy in list(stage.fleet.proxies):
-            group.create_task(one(proxy))
-            await asyncio.sleep(_gap(stage))
+            group.create_task(restart_proxy(proxy))
+            await asyncio.sleep(_random_gap(stage))
 
 
-async def _until_ready(stage: RealStage, proxy: real.Process) -> None:
-    """Wait until the platform has seen a proxy ready, as whoever rolls a fleet does."""
-    begun = stage.now
+async def _wait_ready(stage: RealStage, proxy: real.Process) -> None:
+    """Wait until the platform has seen a proxy ready, as a rolling restart does."""
+    started_at = stage.now
     while (  # noqa: ASYNC110
-        proxy.web not in stage.fleet.clients.ready and stage.now - begun < histories.RECOVER_S
+        proxy.web not in stage.fleet.clients.ready and stage.now - started_at < histories.RECOVER_S
     ):
         await asyncio.sleep(0.1)
 
 
 async def stop_with_work_in_hand(stage: RealStage) -> None:
-    """A proxy stops while it has requests that take from one to four seconds."""
+    """A proxy stops while it has requests that take one to four seconds."""
     proxy = stage.rng.choice(stage.fleet.proxies)
     services = stage.fleet.shape.services
     requests = [
-        asyncio.create_task(stage.fleet.clients.send_request(service, proxy.web, f"&work={span}"))
+        asyncio.create_task(stage.fleet.clients.send_request(service, proxy.web, f"&work={work_s}"))
         for service in services
-        for span in (1, 2, 4)
+        for work_s in (1, 2, 4)
     ]
     await asyncio.sleep(0.3)
-    await end_in_order(stage, proxy)
+    await stop_gracefully(stage, proxy)
     await asyncio.gather(*requests)
-    stage.again(proxy)
-    await _until_ready(stage, proxy)
+    stage.restart(proxy)
+    await _wait_ready(stage, proxy)
 
 
 async def move_proxy(stage: RealStage) -> None:
-    """A proxy stops and comes back at another address among its fellows."""
+    """A proxy is stopped and restarted at new addresses."""
     proxy = stage.rng.choice(stage.fleet.proxies)
-    await end_in_order(stage, proxy)
+    await stop_gracefully(stage, proxy)
     await stage.fleet.move(proxy)
-    stage.again(proxy)
-    await _until_ready(stage, proxy)
+    stage.restart(proxy)
+    await _wait_ready(stage, proxy)
 
 
 async def freeze_proxies_in_turn(stage: RealStage) -> None:
-    """One proxy after another stands still for a moment."""
+    """Up to three proxies are frozen briefly, one after another."""
     for proxy in stage.rng.sample(stage.fleet.proxies, min(3, len(stage.fleet.proxies))):
-        begun = stage.now
+        started_at = stage.now
         proxy.tell(signal.SIGSTOP)
         await asyncio.sleep(stage.rng.uniform(0.2, 2.5))
         proxy.tell(signal.SIGCONT)
-        stage.mark_gone([proxy], begun)
-        await asyncio.sleep(_gap(stage))
+        stage.mark_gone([proxy], started_at)
+        await asyncio.sleep(_random_gap(stage))
 
 
 async def roll_registries(stage: RealStage) -> None:
-    """Every registry stops and comes back, one after the other."""
+    """Every registry is stopped and restarted, one after another."""
     for registry, _ in list(stage.fleet.cores):
-        await end_in_order(stage, registry)
-        stage.again(registry)
-        await asyncio.sleep(2.0 + _gap(stage))
+        await stop_gracefully(stage, registry)
+        stage.restart(registry)
+        await asyncio.sleep(2.0 + _random_gap(stage))
 
 
 async def row_of_changes(stage: RealStage) -> None:
-    """Layouts in a row, by whichever core."""
-    for _ in range(ROW):
+    """Several layouts in succession, each through any core."""
+    for _ in range(REPETITIONS):
         await stage.put(stage.core())
         await asyncio.sleep(stage.rng.uniform(0.1, 1.0))
     await stage.get(stage.core())
 
 
 async def broken_changes(stage: RealStage) -> None:
-    """Layouts that are not valid, and one that is."""
-    for _ in range(ROW):
-        broken = stage.layout()
-        broken["rules"].append({"path": "/x", "service": "nobody-knows"})
-        put = await stage.put(stage.core(), broken)
+    """Several invalid layouts, then a valid one."""
+    for _ in range(REPETITIONS):
+        invalid = stage.layout()
+        invalid["rules"].append({"path": "/x", "service": "nobody-knows"})
+        put = await stage.put(stage.core(), invalid)
         stage.story.broken_bodies.add(put.body)
         await asyncio.sleep(0.2)
     await stage.put(stage.core())
 
 
 async def odd_endpoints(stage: RealStage) -> None:
-    """Endpoints that hang, reset or refuse come, and go again."""
+    """Endpoints that hang, reset, refuse or fail are started and stopped."""
     services = stage.fleet.shape.services
     reading = [service for service in services if not service.writing]
     hosts = [
@@ -150,8 +150,8 @@
 
 
 async def row_of_hangups(stage: RealStage) -> None:
-    """SIGHUP again and again, to whoever runs: starting, serving or stopping."""
-    for _ in range(4 * ROW):
+    """Repeated SIGHUP to random processes, whether starting, serving or stopping."""
+    for _ in range(4 * REPETITIONS):
         processes = [*stage.fleet.proxies, *(process for core in stage.fleet.cores for process in core)]
         running = [process for process in processes if process.running()]
         if running:
@@ -160,8 +160,8 @@
 
 
 async def row_of_repeated_stops(stage: RealStage) -> None:
-    """SIGTERM once more, to proxies and registries that are stopping already."""
-    for _ in range(4 * ROW):
+    """Another SIGTERM to proxies and registries that are already stopping."""
+    for _ in range(4 * REPETITIONS):
         processes = [*stage.fleet.proxies, *(registry for registry, _ in stage.fleet.cores)]
         stopping = [process for process in processes if process.running() and process.told_to_end]
         if stopping:
@@ -170,11 +170,11 @@
 
 
 def with_behavior(**behavior: typing.Any) -> realfaults.Act:
-    """Callers that come in one manner for a while."""
+    """Give the clients another behavior for a while."""
 
     async def act(stage: RealStage) -> None:
         stage.fleet.clients.behavior = clients.ClientBehavior(**behavior)
-        await asyncio.sleep(MANNER_S)
+        await asyncio.sleep(BEHAVIOR_S)
         stage.fleet.clients.behavior = clients.ClientBehavior()
 
     return act
@@ -193,7 +193,7 @@
     "row_of_hangups": row_of_hangups,
     "row_of_repeated_stops": row_of_repeated_stops,
     "callers_leave": with_behavior(kept_share=0.9, leave_share=0.6, leave_within_s=0.1),
-    # So few requests over so many kept connections that each rests for long between two.
+    # Few requests over many kept connections, so that each connection is idle for long between two.
     "callers_rest": with_behavior(kept_share=1.0),
     "callers_try_again": with_behavior(kept_share=0.7, tries=2),
     "callers_stay": with_behavior(kept_share=0.95),
--- a/packages/simulator/src/dykeswitch/simulator/soak/engine.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/engine.py
@@ -1,4 +1,4 @@
-"""Plays the plan of a soak on a fleet of real processes."""
+"""Runs the plan of a soak on a fleet of real processes."""
 
 import dataclasses
 import pathlib
@@ -11,25 +11,25 @@
 import dykeswitch.standin.fleet as real
 from dykeswitch.simulator.realstage import RealStage
 
-# For how long callers' connections may rest, and what part of it they do at the most.
+# Idle timeout of clients' connections, and the share of it for which a client keeps one idle at most.
 IDLE_S: typing.Final = 4.0
-REST_PART: typing.Final = 0.8
-# The part of all requests that may be turned away: endpoints are few, and some are always in trouble.
-AWAY_SHARE: typing.Final = 0.02
+MAX_IDLE_SHARE: typing.Final = 0.8
+# The share of requests that may be refused: there are few endpoints, and some are always failing.
+MAX_REFUSED_SHARE: typing.Final = 0.02
 
 
 def _prepare(stage: RealStage) -> None:
     web = stage.fleet.machine.web
     assert isinstance(web, real.LightWeb)
-    # Who rests longest is used first, up to four fifths of what is allowed.
-    web.oldest_first, web.rest_most_s = True, IDLE_S * REST_PART
+    # The connection that was idle longest is used first, up to four fifths of the idle timeout.
+    web.oldest_first, web.rest_most_s = True, IDLE_S * MAX_IDLE_SHARE
 
 
 async def play(plan: plans.Plan, folder: pathlib.Path) -> realengine.Day:
-    """Play a plan; its logs and all that endpoints noted stay in the folder."""
+    """Run a plan; its logs and the records of the endpoints remain in the folder."""
     shape = dataclasses.replace(sizes.SHAPES[plan.shape], idle_s=IDLE_S)
     day = await realengine.play(
-        sizes.sized(shape, plan.nodes),
+        sizes.scaled_to(shape, plan.nodes),
         plan.seed,
         plan.scale,
         plan.tracks,
@@ -39,5 +39,5 @@
         _prepare,
     )
     story = day.stage.story
-    story.away_most = max(story.away_most, round(len(story.requests) * AWAY_SHARE))
+    story.away_most = max(story.away_most, round(len(story.requests) * MAX_REFUSED_SHARE))
     return day
--- a/packages/simulator/src/dykeswitch/simulator/soak/plan.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/plan.py
@@ -1,4 +1,4 @@
-"""What a soak does and when: drawn from its seed alone, and written down before it starts."""
+"""Plan of a soak: which acts run when. It depends on the seed alone and is saved before the start."""
 
 import dataclasses
 import json
@@ -6,8 +6,8 @@
 import random
 import typing
 
-# Tracks run at the same time, the steps of each one after the other. What one track does to its
-# processes is known to that track alone, so each kind of process has one that ends and restarts it.
+# Tracks run concurrently, the steps of a track one after another. A track does not know the state that
+# another track's acts leave processes in, so each kind of process is stopped and restarted by one track.
 TRACKS: typing.Final[dict[str, tuple[str, ...]]] = {
     "proxies": (
         "roll_proxies",
@@ -29,22 +29,22 @@
     "signals": ("row_of_hangups", "row_of_repeated_stops"),
     "callers": ("callers_leave", "callers_rest", "callers_try_again", "callers_stay"),
 }
-# Between which pauses each step of a track begins, in seconds. Another core may be lost only once the
-# one before is made up for, which the settings give four seconds.
-PAUSES_S: typing.Final = {"cores": (4.0, 6.0)}
-USUAL_PAUSE_S: typing.Final = (0.0, 2.0)
-# Steps of a track per minute, more than any track can play: what is over time is not begun.
+# Minimum and maximum pause before each step of a track, in seconds. A core may be lost only after the
+# loss of the previous one is repaired, for which the settings allow four seconds.
+TRACK_PAUSES_S: typing.Final = {"cores": (4.0, 6.0)}
+DEFAULT_PAUSE_S: typing.Final = (0.0, 2.0)
+# Steps of a track per minute, more than any track can run; steps past the end are not started.
 STEPS_PER_MINUTE: typing.Final = 30
 PLAN_FILE: typing.Final = "plan.json"
 
 
 class PlanError(ValueError):
-    """A file that holds no plan."""
+    """The file has no valid plan."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """One act of a track: after which pause (seconds), and with which draws."""
+    """One act of a track, with the pause before it in seconds and the seed of its random choices."""
 
     act: str
     after_s: float
@@ -53,33 +53,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """A soak: the fleet's shape and size, its traffic, and what each track does."""
+    """A soak: the fleet's shape and size, its traffic, and the steps of each track."""
 
     shape: str
     seed: int
     seconds: float
     scale: float
-    # About how many processes the fleet has; 0 for the shape as it is.
+    # Approximate number of processes of the fleet; 0 keeps the size of the shape.
     nodes: int
     tracks: dict[str, tuple[Step, ...]]
 
     def write(self, folder: pathlib.Path) -> None:
-        """Write it down, for a replay."""
+        """Save the plan for a replay."""
         (folder / PLAN_FILE).write_text(json.dumps(dataclasses.asdict(self), indent=1) + "\n")
 
 
-def draw(shape: str, seed: int, seconds: float, scale: float, nodes: int) -> Plan:
-    """A plan; the same one for the same arguments."""
+def generate(shape: str, seed: int, seconds: float, scale: float, nodes: int) -> Plan:
+    """Generate a plan; equal arguments give equal plans."""
     rng = random.Random(f"soak-{seed}")
-    many = max(1, round(seconds / 60 * STEPS_PER_MINUTE))
+    step_count = max(1, round(seconds / 60 * STEPS_PER_MINUTE))
     tracks = {
         track: tuple(
             Step(
                 rng.choice(acts),
-                round(rng.uniform(*PAUSES_S.get(track, USUAL_PAUSE_S)), 3),
+                round(rng.uniform(*TRACK_PAUSES_S.get(track, DEFAULT_PAUSE_S)), 3),
                 rng.getrandbits(32),
             )
-            for _ in range(many)
+            for _ in range(step_count)
         )
         for track, acts in TRACKS.items()
     }
@@ -87,12 +87,12 @@
 
 
 def read(folder: pathlib.Path) -> Plan:
-    """The plan that a soak wrote into its folder; raises `PlanError`."""
+    """Read the plan that a soak saved in its folder; raises `PlanError`."""
     try:
         raw: dict[str, typing.Any] = json.loads((folder / PLAN_FILE).read_text())
         tracks = {
             str(track): tuple(Step(**step) for step in steps) for track, steps in raw.pop("tracks").items()
         }
         return Plan(**raw, tracks=tracks)
-    except (OSError, ValueError, TypeError, KeyError, AttributeError) as flaw:
-        raise PlanError(f"{folder / PLAN_FILE}: {flaw}") from flaw
+    except (OSError, ValueError, TypeError, KeyError, AttributeError) as error:
+        raise PlanError(f"{folder / PLAN_FILE}: {error}") from error
--- a/packages/simulator/src/dykeswitch/simulator/soak/sizes.py
+++ b/packages/simulator/src/dykeswitch/simulator/soak/sizes.py
@@ -1,4 +1,4 @@
-"""How large a fleet this machine bears: short of half of its memory, and of 300 processes."""
+"""Chooses the size of a fleet for this machine: under half of its memory and under 300 processes."""
 
 import dataclasses
 import pathlib
@@ -7,19 +7,19 @@
 import dykeswitch.standin.nature as profiles
 import dykeswitch.standin.shape as shapes
 
-PROCESSES_MOST: typing.Final = 300
+MAX_PROCESSES: typing.Final = 300
 MEMORY_SHARE: typing.Final = 0.5
-# What one process of ours takes at the most, measured (50 MB), in bytes, and what callers take.
+# Memory of one process (it uses up to 50 MB), and of the clients.
 PROCESS_BYTES: typing.Final = 55 * 1024 * 1024
-CALLERS_BYTES: typing.Final = 256 * 1024 * 1024
+CLIENTS_BYTES: typing.Final = 256 * 1024 * 1024
 KILOBYTE: typing.Final = 1024
-# How a part of a shape is made smaller until it fits, and where that ends.
+# The factor by which a shape is scaled down until it fits, and the smallest scale that is tried.
 SHRINK: typing.Final = 0.97
-LEAST_PART: typing.Final = 0.01
+MIN_PART: typing.Final = 0.01
 
-# Endpoints that give up work whose caller closed the connection, as most of the users' do.
+# Endpoints that cancel work when its client closes the connection, as most of the users' endpoints do.
 SOAKED: typing.Final = profiles.EndpointProfile(drops=True, idle_s=10.0)
-# Small enough for a run beside all other tests.
+# Small enough to run alongside all other tests.
 PUDDLE: typing.Final = shapes.Shape(
     "puddle",
     3,
@@ -42,35 +42,35 @@
 
 
 def memory() -> Memory:
-    """Memory as the system tells it."""
+    """Read the memory usage from the operating system."""
     lines = pathlib.Path("/proc/meminfo").read_text().splitlines()
-    told = {line.split(":")[0]: int(line.split()[1]) * KILOBYTE for line in lines}
-    return Memory(told["MemTotal"], told["MemTotal"] - told["MemAvailable"])
+    values = {line.split(":")[0]: int(line.split()[1]) * KILOBYTE for line in lines}
+    return Memory(values["MemTotal"], values["MemTotal"] - values["MemAvailable"])
 
 
-def processes_most(now: Memory) -> int:
-    """How many processes may run beside what runs already."""
-    free = now.total * MEMORY_SHARE - now.used - CALLERS_BYTES
-    return max(0, min(PROCESSES_MOST - 1, int(free / PROCESS_BYTES)))
+def max_processes(now: Memory) -> int:
+    """Return how many processes may run in addition to what runs already."""
+    free = now.total * MEMORY_SHARE - now.used - CLIENTS_BYTES
+    return max(0, min(MAX_PROCESSES - 1, int(free / PROCESS_BYTES)))
 
 
 def processes(shape: shapes.Shape) -> int:
-    """How many processes a fleet of a shape has, with the endpoints that rules move requests to."""
+    """Return the number of processes of a fleet, including the endpoints that rules rotate requests to."""
     endpoints = sum(service.endpoints for service in (*shape.services, *shapes.SLOTS))
     return shape.proxies + 2 * shape.cores + endpoints
 
 
-def sized(shape: shapes.Shape, nodes: int) -> shapes.Shape:
-    """A shape of about so many processes, or as it is if 0; its endpoints drop work that is broken off."""
+def scaled_to(shape: shapes.Shape, nodes: int) -> shapes.Shape:
+    """Return a shape of about `nodes` processes, or unscaled if 0; its endpoints cancel aborted work."""
     services = tuple(dataclasses.replace(service, profile=SOAKED) for service in shape.services)
-    whole = dataclasses.replace(shape, services=services)
+    unscaled = dataclasses.replace(shape, services=services)
     if not nodes:
-        return whole
-    fixed = 2 * whole.cores + sum(slot.endpoints for slot in shapes.SLOTS)
-    part = max(0.0, nodes - fixed) / (processes(whole) - fixed)
-    made = whole.scaled_down(part)
-    # Rounding may add a few, and the least of everything may still be more than was asked for.
-    while processes(made) > nodes and part > LEAST_PART:
+        return unscaled
+    fixed = 2 * unscaled.cores + sum(slot.endpoints for slot in shapes.SLOTS)
+    part = max(0.0, nodes - fixed) / (processes(unscaled) - fixed)
+    scaled = unscaled.scaled_down(part)
+    # Rounding may add a few processes, and even the minimum of each kind may be more than `nodes`.
+    while processes(scaled) > nodes and part > MIN_PART:
         part *= SHRINK
-        made = whole.scaled_down(part)
-    return made
+        scaled = unscaled.scaled_down(part)
+    return scaled
