--- a/packages/simulator/src/dykeswitch/simulator/faults/control.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/control.py
@@ -194,11 +194,11 @@
         await _change_with_bare_majority(stage, first)
         for node in (first.store, first.registry):
             node.lose_power()
-        fresh = _replace(stage, first)
+        replacement = _replace(stage, first)
         await stage.wait_until_all_vote()
         # The next loss may hit the core that has just got its vote or one that was there before.
         await asyncio.sleep(stage.rng.choice((0.0, 0.05, 0.3)))
-        victim = stage.rng.choice((second, fresh))
+        victim = stage.rng.choice((second, replacement))
         await _change_with_bare_majority(stage, victim)
         for node in (victim.store, victim.registry):
             node.lose_power()
--- a/packages/simulator/src/dykeswitch/simulator/faults/operators.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/operators.py
@@ -89,7 +89,7 @@
 async def burst_by_two(stage: stages.Stage) -> None:
     """Two operators send bursts of conditional changes to any registry, with invalid layouts among them."""
 
-    async def one() -> None:
+    async def send_burst() -> None:
         for round_number in range(5):
             current = await stage.fleet.get(stage.core())
             match = current.version if current.status == 200 else None
@@ -101,7 +101,7 @@
                 invalid = await stage.fleet.put(stage.broken(), stage.core(), match)
                 stage.story.broken_bodies.add(invalid.body)
 
-    await asyncio.gather(one(), one())
+    await asyncio.gather(send_burst(), send_burst())
     await stage.fleet.get(stage.core())
 
 
--- a/packages/simulator/src/dykeswitch/simulator/faults/proxies.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/proxies.py
@@ -150,9 +150,9 @@
             stage.mark_gone([edge], stage.now)
             stage.fresh += 1
             # At the same address, so that the platform knows it.
-            fresh = fleet.edge(f"proxy-new{stage.fresh}", stage.fresh, edge.web)
-            fleet.edges[fleet.edges.index(edge)] = fresh
-            fresh.node.start()
+            replacement = fleet.edge(f"proxy-new{stage.fresh}", stage.fresh, edge.web)
+            fleet.edges[fleet.edges.index(edge)] = replacement
+            replacement.node.start()
         await asyncio.sleep(3.0 + round_number)
     for name in names:
         fleet.endpoints[name].plan.fault = "none"
@@ -166,10 +166,10 @@
     original_count = len(fleet.edges)
     for _ in range(original_count):
         stage.fresh += 1
-        fresh = fleet.edge(f"proxy-more{stage.fresh}", stage.fresh)
-        fleet.edges.append(fresh)
-        fleet.clients.add(fresh.web)
-        fresh.node.start()
+        added = fleet.edge(f"proxy-more{stage.fresh}", stage.fresh)
+        fleet.edges.append(added)
+        fleet.clients.add(added.web)
+        added.node.start()
     await asyncio.sleep(3.0)
     service = fleet.shape.services[0]
     await _fail_service(stage, service)
--- a/packages/simulator/src/dykeswitch/simulator/realengine.py
+++ b/packages/simulator/src/dykeswitch/simulator/realengine.py
@@ -130,7 +130,7 @@
 
 
 async def _start(stage: RealStage) -> float:
-    """Start the fleet and wait until every probe slot has its owner; return the seconds until it was up."""
+    """Start the fleet and wait until every slot is assigned; return the seconds until it was up."""
     started_at = stage.now
     up_s = await stage.fleet.start()
     body = json.dumps(stage.fleet.first, sort_keys=True)
--- a/packages/simulator/src/dykeswitch/simulator/whatif.py
+++ b/packages/simulator/src/dykeswitch/simulator/whatif.py
@@ -118,9 +118,9 @@
     fleet = fleets.SimFleet(shape, seed, scratch, scale, variant.settings)
     await fleet.start()
     await asyncio.sleep(scenarios.SETTLED_S)
-    play = _EventPlayer(fleet)
+    player = _EventPlayer(fleet)
     for event in variant.events:
-        fleet.spawn(play.play(event))
+        fleet.spawn(player.play(event))
     await fleet.clients.run_traffic(duration_s, scale)
     mark_reasons: collections.Counter[str] = collections.Counter()
     for line in fleet.world.events:
