--- a/packages/cli/src/dykeswitch/cli/main.py
+++ b/packages/cli/src/dykeswitch/cli/main.py
@@ -177,18 +177,18 @@
         if isinstance(variant, str):
             sys.stderr.write(f"dykeswitch: {variant}\n")
             return 2
-        pages.append(whatif.ask(shapes.SHAPES[args.shape], variant, seeds, args.duration, args.scale))
+        pages.append(whatif.simulate(shapes.SHAPES[args.shape], variant, seeds, args.duration, args.scale))
     first = variants[0]
     if args.real and isinstance(first, whatif.Variant):
         if any(event.act != "down" for event in first.events):
             sys.stderr.write("dykeswitch: --real supports 'down' events only\n")
             return 2
         shape = shapes.SHAPES[args.shape]
-        measured = asyncio.run(whatreal.ask(shape, first, 1, args.duration, args.scale))
+        measured = asyncio.run(whatreal.run(shape, first, 1, args.duration, args.scale))
         print(json.dumps([pages[0], measured, whatreal.compare(pages[0], measured)], indent=2))
         return 0
     if len(pages) == 2:
-        pages.append({"second less first": whatif.differ(pages[0], pages[1])})
+        pages.append({"second less first": whatif.difference(pages[0], pages[1])})
     print(json.dumps(pages, indent=2))
     return 0
 
--- a/packages/cli/src/dykeswitch/cli/soak.py
+++ b/packages/cli/src/dykeswitch/cli/soak.py
@@ -48,14 +48,14 @@
 def run(args: argparse.Namespace) -> int:
     """Run the soak tests, or replay one; return the exit code."""
     root = args.folder or pathlib.Path(tempfile.mkdtemp(prefix="dykeswitch-soak-"))
-    max_processes = sizes.processes_most(sizes.memory())
+    max_processes = sizes.max_processes(sizes.memory())
     try:
         chosen = [plans.read(args.replay)] if args.replay is not None else _plans(args, max_processes)
     except plans.PlanError as error:
         sys.stderr.write(f"dykeswitch: {error}\n")
         return EXIT_USAGE
     for plan in chosen:
-        needed = sizes.processes(sizes.sized(sizes.SHAPES[plan.shape], plan.nodes))
+        needed = sizes.processes(sizes.scaled_to(sizes.SHAPES[plan.shape], plan.nodes))
         if needed > max_processes:
             sys.stderr.write(
                 f"dykeswitch: {needed} processes are needed, but this machine can run {max_processes} now\n"
@@ -70,7 +70,7 @@
     nodes = max_processes if args.nodes < 0 else min(args.nodes, max_processes)
     seconds = args.minutes * SECONDS_PER_MINUTE
     return [
-        plans.draw(args.shape, seed, seconds, args.scale, nodes)
+        plans.generate(args.shape, seed, seconds, args.scale, nodes)
         for seed in range(args.seed, args.seed + args.seeds)
     ]
 
@@ -84,7 +84,7 @@
             f"seed {plan.seed}: {plan.seconds:.0f} s of actions, then a quiet period; output in {folder}\n"
         )
     day = asyncio.run(engine.play(plan, folder))
-    report = reports.of(plan, day, folder)
+    report = reports.create(plan, day, folder)
     reports.write(report, day, folder)
     print(report.text(), flush=True)
-    return report.held
+    return report.passed
