--- a/packages/simulator/src/dykeswitch/simulator/faults/wires.py
+++ b/packages/simulator/src/dykeswitch/simulator/faults/wires.py
@@ -114,7 +114,7 @@
     for node in [n for c in cores for n in (c.store, c.registry)] + [e.node for e in edges]:
         node.restart()
     for name in names + slots:
-        stage.links.off.discard(name)
+        stage.links.powered_off.discard(name)
         fleet.start_endpoint(fleet.endpoints[name])
     stage.mark_gone(edges, started_at)
     await asyncio.sleep(4.0)
