--- a/packages/explorer/src/dykeswitch/explorer/clients.py
+++ b/packages/explorer/src/dykeswitch/explorer/clients.py
@@ -1,4 +1,7 @@
-"""What the registries of a scope do: place orders, read back, tend the member set, carry documents."""
+"""Operations of the registries in a scope.
+
+Registries place orders, read keys, reconcile the member set and distribute documents.
+"""
 
 import typing
 
@@ -17,21 +20,24 @@
 
 KEY: typing.Final = "layout"
 ORDER_CALL: typing.Final = "order"
-NEWS_CALL: typing.Final = "news"
-TIMELINE_LIFE: typing.Final = 1000.0
-# For how long a store must be silent before it is replaced.
-SWAP_SECONDS: typing.Final = settings.Settings().disk_replace_after_s + 1.0
+VERSION_CALL: typing.Final = "news"
+TIMELINE_RETENTION_S: typing.Final = 1000.0
+# A sleep of this length exceeds the silence after which a store is replaced.
+REPLACE_AFTER_S: typing.Final = settings.Settings().disk_replace_after_s + 1.0
 
 
 def order_step(order: str, body: bytes, expected: int | None) -> proposers.Step:
-    """An operator's order: taken once, and only on top of the version that it expects."""
+    """Return the change that an operator's order makes to a key's value.
+
+    The order is applied at most once, and only to the version that it expects.
+    """
 
-    def step(now: register.Value) -> register.Value | outcome.Failure:
-        if now.version_of(order) is not None:
-            return now
-        if expected is not None and now.version != expected:
-            return outcome.failure("lost_race", f"newest is {now.version}")
-        return now.successor(body, order)
+    def step(current: register.Value) -> register.Value | outcome.Failure:
+        if current.version_of(order) is not None:
+            return current
+        if expected is not None and current.version != expected:
+            return outcome.failure("lost_race", f"newest is {current.version}")
+        return current.successor(body, order)
 
     return step
 
@@ -39,62 +45,65 @@
 async def place_order(
     registry: nodes.Registry, key: str, order: str, body: bytes, expected: int | None = None
 ) -> int:
-    """Change a key on behalf of an operator at this registry; the version made, if acknowledged."""
+    """Change a key on behalf of an operator at this registry.
+
+    Returns the new version if the order was acknowledged, 0 otherwise.
+    """
     history = registry.world.history
     client = registry.host.name
-    number = history.number_for(client)
+    number = history.next_number_for(client)
     operation = histories.Operation(
         client, number, histories.Kind.ORDER, key, order=order, body=body, expected=expected
     )
-    history.ask(operation)
+    history.record_request(operation)
     assert registry.proposer is not None
     result = await registry.proposer.change(key, order_step(order, body, expected))
     if isinstance(result, outcome.Success):
-        registry.world.note_told(key, result.value)
-    tell_order(registry.world, operation, result)
+        registry.world.record_reported_value(key, result.value)
+    record_order_result(registry.world, operation, result)
     return operation.version
 
 
-def tell_order(world: worlds.World, operation: histories.Operation, result: proposers.Read) -> None:
-    """Note what an operator is told of an order."""
+def record_order_result(world: worlds.World, operation: histories.Operation, result: proposers.Read) -> None:
+    """Record the answer that an operator gets to an order."""
     if isinstance(result, outcome.Success):
         version = result.value.version_of(operation.order)
         if version is None:
-            world.violate(f"I5 {operation.order} is acknowledged and not among the changes made")
+            world.record_violation(f"I5 {operation.order} is acknowledged but missing from the changes made")
         else:
-            world.history.tell(operation, histories.Answer.ACKNOWLEDGED, version)
+            world.history.record_answer(operation, histories.Answer.ACKNOWLEDGED, version)
         return
-    world.history.tell(operation, answer_of(result))
+    world.history.record_answer(operation, answer_for_failure(result))
 
 
-def answer_of(failure: outcome.Failure) -> histories.Answer:
-    """What a bad outcome tells an operator."""
+def answer_for_failure(failure: outcome.Failure) -> histories.Answer:
+    """Return the answer that an operator gets for a failure."""
     if failure.code.tag == "lost_race":
         return histories.Answer.REFUSED
-    # A caller that hears nothing knows as little as one that is told so.
+    # A missing reply is as inconclusive as a reply that says the result is unknown.
     if failure.code.tag in ("unknown", "no_reply"):
         return histories.Answer.UNKNOWN
     return histories.Answer.FAILED
 
 
 async def read_back(registry: nodes.Registry, key: str) -> None:
-    """Read a key on behalf of an operator at this registry, and note what it is told."""
+    """Read a key on behalf of an operator at this registry and record the answer."""
     history = registry.world.history
     client = registry.host.name
-    operation = histories.Operation(client, history.number_for(client), histories.Kind.READ, key)
-    history.ask(operation)
+    operation = histories.Operation(client, history.next_number_for(client), histories.Kind.READ, key)
+    history.record_request(operation)
     assert registry.proposer is not None
     result = await registry.proposer.read(key)
     if isinstance(result, outcome.Success):
         value = result.value
-        registry.world.note_told(key, value)
-        history.tell(operation, histories.Answer.READ, value.version, value.body)
+        registry.world.record_reported_value(key, value)
+        history.record_answer(operation, histories.Answer.READ, value.version, value.body)
     else:
-        history.tell(operation, answer_of(result))
+        history.record_answer(operation, answer_for_failure(result))
 
 
 def serve_orders(registry: nodes.Registry) -> None:
-    """Take orders by call, as from operators elsewhere."""
+    """Accept orders as calls from operators on other hosts."""
 
     async def handle(body: frames.Body) -> frames.Result:
         assert registry.proposer is not None
@@ -103,7 +112,7 @@
         result = await registry.proposer.change(str(body["key"]), step)
         if isinstance(result, outcome.Failure):
             return result
-        registry.world.note_told(str(body["key"]), result.value)
+        registry.world.record_reported_value(str(body["key"]), result.value)
         return outcome.Success({"version": result.value.version_of(order)})
 
     registry.serve({ORDER_CALL: handle})
@@ -112,36 +121,39 @@
 async def send_order(
     operator: nodes.Registry, target: str, key: str, order: str, body: bytes, expected: int | None = None
 ) -> bool:
-    """Send an order to a registry; false where no clear answer came."""
+    """Send an order to a registry.
+
+    Returns False if the answer does not say whether the order was applied or refused.
+    """
     history = operator.world.history
     client = operator.host.name
     operation = histories.Operation(
         client,
-        history.number_for(client),
+        history.next_number_for(client),
         histories.Kind.ORDER,
         key,
         order=order,
         body=body,
         expected=expected,
     )
-    history.ask(operation)
-    ask: frames.Body = {"key": key, "order": order, "body": body, "expected": expected}
+    history.record_request(operation)
+    request: frames.Body = {"key": key, "order": order, "body": body, "expected": expected}
     address = operator.world.address(target)
-    result = await operator.call_client().call(address, ORDER_CALL, ask, nodes.CALL_WAIT)
+    result = await operator.call_client().call(address, ORDER_CALL, request, nodes.CALL_TIMEOUT_S)
     if isinstance(result, outcome.Success):
-        history.tell(operation, histories.Answer.ACKNOWLEDGED, int(result.value["version"]))
+        history.record_answer(operation, histories.Answer.ACKNOWLEDGED, int(result.value["version"]))
         return True
-    answer = answer_of(result)
-    history.tell(operation, answer)
+    answer = answer_for_failure(result)
+    history.record_answer(operation, answer)
     return answer is histories.Answer.REFUSED
 
 
 def make_reconfiguration(
     registry: nodes.Registry, proposer: proposers.Proposer, founders: typing.Sequence[str]
 ) -> reconfigurations.Reconfiguration:
-    """The member set's keeper at this registry."""
+    """Return the reconfiguration component of this registry, which maintains the member set."""
     config = settings.Settings(name=registry.host.name, founders=tuple(founders))
-    made = reconfigurations.Reconfiguration(
+    reconfiguration = reconfigurations.Reconfiguration(
         registry.host.name,
         config,
         registry.machine(),
@@ -149,31 +161,35 @@
         proposer,
         lambda event, what: None,
     )
-    registry.host.memory.append(made)
-    return made
+    registry.host.memory.append(reconfiguration)
+    return reconfiguration
 
 
-async def _read_any(name: str, version: int, data: bytes) -> documents.Apply | None:
+async def _accept_any(name: str, version: int, data: bytes) -> documents.Apply | None:
     return lambda: None
 
 
 def make_documents(registry: nodes.Registry) -> tuple[documents.Documents, timelines.Timeline]:
-    """The documents that this host holds and hands on, and the timeline they are named on."""
-    timeline = timelines.Timeline(registry.host.name, registry.clock(), TIMELINE_LIFE)
-    made = documents.Documents(timeline, registry.call_client(), nodes.CALL_WAIT, _read_any)
-    registry.host.memory.append(made)
-    registry.versions = lambda: {name: made.version(name) for name in documents.NAMES}
-    return made, timeline
-
-
-def news_handlers(
-    held: documents.Documents, timeline: timelines.Timeline, addresses: typing.Sequence[ports.Address]
+    """Return the documents that this host stores and serves, and the timeline with their versions."""
+    timeline = timelines.Timeline(registry.host.name, registry.clock(), TIMELINE_RETENTION_S)
+    local_documents = documents.Documents(timeline, registry.call_client(), nodes.CALL_TIMEOUT_S, _accept_any)
+    registry.host.memory.append(local_documents)
+    registry.document_versions = lambda: {name: local_documents.version(name) for name in documents.NAMES}
+    return local_documents, timeline
+
+
+def version_handlers(
+    local_documents: documents.Documents,
+    timeline: timelines.Timeline,
+    addresses: typing.Sequence[ports.Address],
 ) -> dict[str, frames.Handler]:
-    """Hear which version there is of the layout, and fetch it from these members."""
+    """Return handlers that accept a layout version and fetch that layout from the given members."""
 
     async def handle(body: frames.Body) -> frames.Result:
-        timeline.write(timelines.DOCUMENT, documents.LAYOUT, {"version": body["version"]}, TIMELINE_LIFE)
-        await held.catch_up(addresses)
+        timeline.write(
+            timelines.DOCUMENT, documents.LAYOUT, {"version": body["version"]}, TIMELINE_RETENTION_S
+        )
+        await local_documents.catch_up(addresses)
         return outcome.Success({})
 
-    return {NEWS_CALL: handle}
+    return {VERSION_CALL: handle}
--- a/tests/test_long_failures.py
+++ b/tests/test_long_failures.py
@@ -1,4 +1,4 @@
-"""A read's failure that is too long to be held reaches its caller whole, or not at all."""
+"""A failure response to a read that is too long to buffer reaches the client complete, or not at all."""
 
 import asyncio
 import typing
@@ -9,7 +9,7 @@
 
 import dykeswitch.proxy.answering as answering
 
-# Over the 1 MiB that is held of an answer before it is passed on.
+# Longer than the 1 MiB of a response that is buffered before it is passed on.
 BODY: typing.Final = "a long failure. " * 98_304
 HEAD: typing.Final = (
     f"HTTP/1.1 500 Broken\r\nDykeswitch-Exchange: {{id}}\r\nContent-Length: {len(BODY)}\r\n\r\n"
@@ -23,48 +23,48 @@
 
 @pytest.mark.parametrize("why", ["no other endpoint", "no coins", "stopping", "its rule is gone"])
 def test_a_long_failure_is_passed_on_whole_where_no_attempt_can_follow(why: str) -> None:
-    """A read's 500 of 1.5 MiB reached its caller cut, complete by its length (review, beyond the five)."""
+    """A 500 of 1.5 MiB reached the client truncated, with a matching length (review, beyond the five)."""
 
     async def work() -> None:
         endpoints = _failing(1 if why == "no other endpoint" else 2)
         stage = scripted.Stage(*endpoints)
         stage.carrier.closing = why == "stopping"
         if why == "its rule is gone":
-            stage.apply_in(between.AMID_THE_FIRST_S, between.GONE["its route is removed"])
-        answer = await stage.ask(coins=0 if why == "no coins" else 50)
-        assert (answer.status, len(answer.body)) == (500, len(BODY))
-        assert answer.body == BODY.encode()
-        assert dict(answer.headers)[b"content-length"] == str(len(BODY)).encode()
+            stage.apply_after(between.DURING_FIRST_ATTEMPT_S, between.WITHOUT_RULE["its route is removed"])
+        response = await stage.send_request(retry_tokens=0 if why == "no coins" else 50)
+        assert (response.status, len(response.body)) == (500, len(BODY))
+        assert response.body == BODY.encode()
+        assert dict(response.headers)[b"content-length"] == str(len(BODY)).encode()
         assert sum(len(endpoint.requests) for endpoint in endpoints) == 1
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_the_last_of_several_long_failures_is_passed_on_whole() -> None:
-    """Each endpoint was asked once, and the last one's answer was cut."""
+    """Each endpoint was sent the request once, and the last response was truncated."""
 
     async def work() -> None:
         endpoints = _failing(2)
-        answer = await scripted.Stage(*endpoints).ask()
-        assert (answer.status, answer.body) == (500, BODY.encode())
+        response = await scripted.Stage(*endpoints).send_request()
+        assert (response.status, response.body) == (500, BODY.encode())
         assert [len(endpoint.requests) for endpoint in endpoints] == [1, 1]
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_long_failure_gives_way_to_an_endpoint_that_serves() -> None:
-    """It costs the read no further try."""
+    """The read is answered by the next attempt."""
 
     async def work() -> None:
-        endpoints = between.in_turn(list(LONG), count=2)
-        answer = await scripted.Stage(*endpoints).ask()
-        assert (answer.status, answer.body) == (200, b"whole")
+        endpoints = between.sharing_script(list(LONG), count=2)
+        response = await scripted.Stage(*endpoints).send_request()
+        assert (response.status, response.body) == (200, b"whole")
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_long_failure_that_gave_way_in_vain_is_no_answer() -> None:
-    """Its connection was closed for another try that reached nobody; the part held was sent as if whole."""
+    """It was aborted for an attempt that reached no endpoint; the buffered part was sent as if complete."""
 
     async def work() -> None:
         endpoints = _failing(3)
@@ -74,20 +74,20 @@
             for endpoint in endpoints:
                 endpoint.unreachable = True
 
-        asyncio.get_running_loop().call_later(between.AMID_THE_FIRST_S, become_unreachable)
-        answer = await stage.ask()
-        assert answer.status == 502
-        assert any(key == b"dykeswitch-result" for key, _ in answer.headers)
+        asyncio.get_running_loop().call_later(between.DURING_FIRST_ATTEMPT_S, become_unreachable)
+        response = await stage.send_request()
+        assert response.status == 502
+        assert any(key == b"dykeswitch-result" for key, _ in response.headers)
 
-    scripted.play(work)
+    scripted.run(work)
 
 
 def test_a_long_failure_that_is_cut_breaks_its_callers_connection() -> None:
-    """The only honest sign of a cut answer whose head has been sent."""
+    """Closing the connection is the only way to signal truncation once the head has been sent."""
 
     async def work() -> None:
         endpoint = scripted.ScriptedEndpoint([*LONG[:2], scripted.RESET])
-        with pytest.raises(answering.BrokenReplyError):
-            await scripted.Stage(endpoint).ask()
+        with pytest.raises(answering.BrokenResponseError):
+            await scripted.Stage(endpoint).send_request()
 
-    scripted.play(work)
+    scripted.run(work)
