--- a/tests/test_style.py
+++ b/tests/test_style.py
@@ -28,14 +28,25 @@
 # Names of a former style, each with its replacement.
 WITHDRAWN: typing.Final = {
     "burden": "load",
+    "coin": "token",
+    "coins": "tokens",
+    "dial": "connect",
     "dice": "rng",
+    "ear": "listener, server",
+    "gently": "cooperatively",
     "ground": "testbed",
+    "heads": "headers",
     "hollow": "scale, headless",
+    "manners": "behavior",
+    "mended": "repaired",
     "papers": "documents",
+    "roves": "route_checks",
+    "seat": "key_state",
     "shelf": "storage",
     "spot": "address",
     "tongue": "adapter",
     "warden": "watchdog",
+    "wish": "operation",
 }
 
 
